--- a/internal/placer/asof.go
+++ b/internal/placer/asof.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// The moment as of which this node's configuration is the newest is taken before the
-// question left, here or at the holder, and handed on with its age. What it bounds: a
-// key that was taken away is dead at a node once that moment is behind.
+// The time as of which a node's configuration is the newest is taken before the read is sent, at this node or at the
+// lease holder, and is passed on to followers as an age. It bounds the use of removed keys: a node no longer accepts
+// a key once that time is after the removal.
 
-// ConfigAsOf returns since when a newer configuration than the one in force may be,
-// on the clock that counts sleep; zero where none was read.
+// ConfigAsOf returns when the configuration in force was last confirmed to be the newest, on the clock that counts
+// suspended time; zero if no configuration was read.
 func (c *Controller) ConfigAsOf() time.Time {
-	if at := c.asOf.Load(); at != nil {
+	if at := c.configConfirmedAt.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// confirmConfig notes that the configuration in force was the newest at a moment.
+// confirmConfig records that the configuration in force was the newest at a time.
 func (c *Controller) confirmConfig(at time.Time) {
 	for {
-		old := c.asOf.Load()
-		if old != nil && !at.After(*old) || c.asOf.CompareAndSwap(old, &at) {
+		old := c.configConfirmedAt.Load()
+		if old != nil && !at.After(*old) || c.configConfirmedAt.CompareAndSwap(old, &at) {
 			return
 		}
 	}
 }
 
-// configAge returns the age of what this node knows of the configuration, for others;
-// known is false where it has not read any.
+// configAge returns how long ago the configuration in force was confirmed to be the newest; known is false if it
+// never was.
 func (c *Controller) configAge(now time.Time) (age time.Duration, known bool) {
 	at := c.ConfigAsOf()
 	return max(0, now.Sub(at)), !at.IsZero()
 }
 
-// shownConfigAge returns that age in milliseconds, for metrics.
-func (c *Controller) shownConfigAge() int64 {
+// configAgeMs returns the result of configAge in milliseconds for metrics; -1 if unknown.
+func (c *Controller) configAgeMs() int64 {
 	age, known := c.configAge(c.o.Clock.Now())
 	if !known {
 		return -1
--- a/internal/placer/controller.go
+++ b/internal/placer/controller.go
@@ -25,7 +25,9 @@
 	"olivetiller/io/peer"
 )
 
-// Store is the platform's log store.
+// Store is the platform's log store. Read methods return one page of a topic: Lease, Configs, Instances and Verdicts
+// read from a position and wait up to wait for records; the Newest methods read the latest record of every key and
+// fail after a silence without data. Errors that a reader handles are of type [logstore.Error].
 type Store interface {
 	Append(ctx context.Context, at uint64, record []byte) (offset uint64, err error)
 	Lease(ctx context.Context, from uint64, wait time.Duration) (logstore.Page[[]byte], error)
@@ -38,13 +40,14 @@
 	KeepVerdict(ctx context.Context, v logstore.Verdict) error
 }
 
-// Engines takes orders.
+// Engines sends orders to engines and fetches their reports.
 type Engines interface {
 	Order(ctx context.Context, o placement.Order) (placement.Reply, error)
 	Report(ctx context.Context, engine, address string) (placement.Report, error)
 }
 
-// Peers speaks to the holder of the lease.
+// Peers calls other nodes by address. Report, Watch, Credit and Turn are answered by the lease holder, Watch also by
+// feeders, and Lease and Exchange by any node.
 type Peers interface {
 	Report(ctx context.Context, address string, r *peer.Report) error
 	Watch(ctx context.Context, address string, q peer.Question) (*peer.Snapshot, error)
@@ -54,9 +57,9 @@
 	Turn(ctx context.Context, address string, q *peer.TurnQuestion) (*peer.Turn, error)
 }
 
-// Options are what a controller is made of.
+// Options configure a [Controller].
 type Options struct {
-	// Self is the record with which this node takes the lease.
+	// Self is the record that this node appends to take the lease.
 	Self       lease.Record
 	Clock      clockwork.Clock
 	Logger     hclog.Logger
@@ -64,198 +67,201 @@
 	Engines    Engines
 	Peers      Peers
 	Dispatcher *traffic.Dispatcher
-	// Isolation keeps requests that end engines from them; nil takes one that nobody tells anything.
+	// Isolation tracks requests suspected of crashing engines and keeps them from healthy ones. If nil, New creates a
+	// guard that no dispatcher reports to.
 	Isolation *isolation.Guard
 	Limits    placement.Limits
-	// TakeoverDelay is how much longer than others this node waits before it takes
-	// the lease; weak machines wait longer.
+	// TakeoverDelay is how much longer than other nodes this node waits before it takes a free lease; weak machines
+	// wait longer.
 	TakeoverDelay time.Duration
 	// Hall is the data hall of this node.
 	Hall string
-	// Strength tells strong machines from weak ones: the holder works for all nodes.
+	// Strength ranks machines (cores times link speed); a strong machine is preferred as lease holder, since the
+	// holder works for all nodes. 0 means unknown.
 	Strength float64
-	// Bound is the shortest time within which the platform wants a change heeded; 0
-	// where it tells none.
+	// Bound is the shortest time within which the platform requires a change to take effect; 0 selects a default.
 	Bound time.Duration
-	// Fenced is true where engines check fences.
+	// Fenced is true if engines check the fence of an order.
 	Fenced bool
-	// Tolerance is what the platform bears above customers' limits.
+	// Tolerance is by how much requests may exceed customers' limits.
 	Tolerance quota.Tolerance
-	// Cold is what the platform bears above the rate that a cold endpoint takes.
+	// Cold is by how much requests may exceed the rate that a cold endpoint accepts.
 	Cold quota.ColdTolerance
-	// Own are the addresses at which this node itself listens: an entry that names one of
-	// them would have it pass requests to itself.
+	// Own holds the addresses on which this node listens. An endpoint entry with one of them is rejected, since this
+	// node would forward requests to itself.
 	Own []string
-	// Retries bound what all nodes together may send again.
+	// Retries limit the retries of all nodes together.
 	Retries retry.Limits
 }
 
-// Times of the controller.
+// Intervals, timeouts and limits of the controller.
 const (
-	// tickEvery is the time between two looks at what is due by time alone.
+	// tickEvery is the interval of checks that depend on time alone.
 	tickEvery = 100 * time.Millisecond
-	// reportEvery is the time between two reports while nothing waits, with
-	// reportPerNode for each node, so that the holder's work stays bounded, up to
-	// reportAtMost.
-	reportEvery   = 200 * time.Millisecond
-	reportPerNode = 8 * time.Millisecond
-	reportAtMost  = time.Second
-	// holderFresh is how long the holder's word on the engines counts.
-	holderFresh = 2 * time.Second
-	// missLife is how long an engine's word that it lacks a unit counts: until
-	// the holder has asked it for a report.
-	missLife = time.Second
-	// orderTimeout bounds an order; engines answer at once.
+	// reportEvery is the interval of this node's reports while no request waits. It grows by reportPerNode for each
+	// node, up to maxReportInterval, so that the lease holder's load stays bounded.
+	reportEvery       = 200 * time.Millisecond
+	reportPerNode     = 8 * time.Millisecond
+	maxReportInterval = time.Second
+	// holderTTL is how long the lease holder's latest state of the engines is used.
+	holderTTL = 2 * time.Second
+	// missTTL is how long an engine's reply that it lacks a unit is used. The lease holder has asked the engine for a
+	// report by then.
+	missTTL = time.Second
+	// orderTimeout bounds an order and a request for a report; engines answer both at once.
 	orderTimeout = time.Second
 	// appendTimeout bounds an append to the store.
 	appendTimeout = 1500 * time.Millisecond
-	// inboxSize bounds the messages that wait for the owner.
+	// inboxSize is the capacity of the owner's inbox, in messages.
 	inboxSize = 256
 )
 
-// message is something the owner is told. handle runs on the owner's goroutine.
+// message is an event for the owner of the controller. handle runs on the owner's goroutine.
 type message interface{ handle(c *Controller) }
 
-// Controller is the control side of a node. Its fields below the inbox belong to
-// the goroutine of Run.
+// Controller is the control side of a node. The atomic fields and the types that lock themselves may be used from any
+// goroutine. The fields from eras on belong to the goroutine of Run.
 type Controller struct {
-	o        Options
-	pace     pace
-	inbox    *inbox.Inbox[message]
-	view     atomic.Pointer[view.View]
-	table    atomic.Pointer[route.Table]
-	stopping atomic.Bool
-	holder   board
-	// relay is what this node passes on while it feeds others.
-	relay   board
-	feeding feeding
-	// heardAt is as of when the holder's latest word is, for metrics.
-	heardAt atomic.Pointer[time.Time]
-	// startedAt is when this controller was made.
+	o         Options
+	timing    timing
+	inbox     *inbox.Inbox[message]
+	view      atomic.Pointer[view.View]
+	table     atomic.Pointer[route.Table]
+	stopping  atomic.Bool
+	published publication
+	// relay is what this node, as a feeder, publishes to its followers.
+	relay   publication
+	feeding feedState
+	// holderSeenAt is when the lease holder had sent the latest state received here, for metrics.
+	holderSeenAt atomic.Pointer[time.Time]
+	// startedAt is when this controller was created.
 	startedAt time.Time
-	// fed is what the holder relayed last; nil if it never did.
-	fed atomic.Pointer[fedMark]
-	// mark is the latest record of the lease known here; nil if there is none.
-	mark   atomic.Pointer[peer.LeaseMark]
-	lookup lookup
-	// leading and leaseDoubt tell the reader of the lease whether to read: a
-	// holder need not, until an append of its own fails.
-	leading, leaseDoubt atomic.Bool
-	// reach is whether the store answers, by the reads and appends of the lease.
-	reach reach
-	// storeLoads is how many loads from the weight store this node, as the holder, lets
-	// run at once; 0 before it held the lease.
+	// relayed is the age mark of the latest relayed store state; nil if none was received.
+	relayed atomic.Pointer[relayMark]
+	// latestLease is the latest lease record known here; nil if there is none.
+	latestLease atomic.Pointer[peer.LeaseMark]
+	lookup      peerList
+	// leading is set while this node holds the lease. leaseUncertain is set until the lease topic was read, after one
+	// of this node's appends failed, and after the store was restored. The lease reader is idle while leading is set
+	// and leaseUncertain is not: a holder knows the topic's end from its own appends.
+	leading, leaseUncertain atomic.Bool
+	// storeHealth tracks whether the store answers reads of and appends to the lease topic.
+	storeHealth storeHealth
+	// storeLoads is how many loads from the weight store the planner allows at once; 0 before this node first held
+	// the lease.
 	storeLoads atomic.Int64
-	// faults counts the records of the store that were passed over.
+	// faults counts the store's records that were skipped.
 	faults faults
-	// startsAgain counts the engines seen to start again under their ids.
-	startsAgain atomic.Int64
-	// doubted is set while the holder says that it gets no answer of the store.
-	doubted atomic.Bool
-	// asOf is when the configuration in force is known to have been the newest.
-	asOf atomic.Pointer[time.Time]
-	// putBacks counts how often the store came back from a copy.
-	putBacks atomic.Int64
-	credits  credits
-	// nodesTold is over how many nodes limits are parted by a node that is alone; 0 where none is known.
-	nodesTold atomic.Int64
+	// engineRestarts counts the engines that were seen to restart under the same id.
+	engineRestarts atomic.Int64
+	// holderLostStore is set while the lease holder reports that the store does not answer it.
+	holderLostStore atomic.Bool
+	// configConfirmedAt is when the configuration in force was last confirmed to be the newest; nil before.
+	configConfirmedAt atomic.Pointer[time.Time]
+	// restores counts how often the store was restored from an older backup.
+	restores atomic.Int64
+	quotas   quotas
+	// memberCount is the number of nodes over which limits are divided while this node is partitioned from the lease
+	// holder; 0 if unknown.
+	memberCount atomic.Int64
 
 	eras      eras
 	lease     *lease.Lease
 	planner   *placement.Planner
 	directory *directory.Directory
-	// held is true while this node orders engines under the lease.
+	// held is true while this node orders engines as the lease holder.
 	held bool
-	// listed is set once the list of endpoints was read, and listedTo the version
-	// up to which it was.
+	// listed is set once the list of endpoints was read or received, and listedTo is the version up to which it was
+	// read.
 	listed   bool
 	listedTo uint64
-	// released is set once the lease was given up for a stop.
+	// released is set once the lease was released for a planned stop.
 	released bool
-	// terms counts how often this process has held the lease.
+	// terms counts how often this process has published as the lease holder.
 	terms int
-	// shown is true once this term's board is shown, which waits for the list of endpoints. inherited is what the holder
-	// before said that the engines serve.
-	shown     bool
-	inherited map[string][]string
-	// heldSince is when this node last gained the lease; yielding is set while it hands it
-	// over.
-	heldSince time.Time
-	yielding  bool
-	remote    remote
-	misses    map[missKey]time.Time
-	newMiss   []peer.Miss
-	// reporting is true while a report is on its way; dirty asks for another.
+	// termPublished is true once this term's publication has begun, which requires the list of endpoints. inherited
+	// is what the previous lease holder had published of each engine, by engine id.
+	termPublished bool
+	inherited     map[string][]string
+	// heldSince is when this node last gained the lease; handingOver is set while it releases the lease to a stronger
+	// node.
+	heldSince        time.Time
+	handingOver      bool
+	holderState      holderState
+	misses           map[missKey]time.Time
+	unreportedMisses []peer.Miss
+	// reporting is true while a report is being sent; dirty requests another one without waiting for the interval.
 	reporting, dirty bool
 	reportedAt       time.Time
 	nodes            map[string]follower
-	// stale asks for a new view, of the endpoints that were touched or of all; index holds what the latest one shows, and
-	// startsGiven whether entries without a start counted as none of endpoints then.
-	stale, all  bool
-	touched     map[string]bool
-	names       names
-	index       *index
-	startsGiven bool
-	// outage decides whether this node goes on as the holder without a lease.
+	// viewStale requests a new view: of the endpoints in touched, or of all endpoints if rebuildAll is set. index
+	// holds the endpoints of the latest view, and startsRecorded is what directory.TellStarts returned when it was
+	// built.
+	viewStale, rebuildAll bool
+	touched               map[string]bool
+	names                 interner
+	index                 *index
+	startsRecorded        bool
+	// outage decides whether this node continues as the lease holder after its lease has expired while the store does
+	// not answer.
 	outage *lease.Outage
-	// paused is set while this node, a holder without a lease, waits for the others'
-	// word on the store and orders nothing.
+	// paused is set while this node, a holder with an expired lease, awaits the other nodes' reports on the store. It
+	// sends no orders meanwhile.
 	paused bool
-	// scoutFailedAt is when the reader of the lease last got no answer; zero once it
-	// got one.
-	scoutFailedAt time.Time
-	// planAt is when the next plan may be made; planDue asks for one then.
+	// leaseReadFailedAt is when the lease reader last got no answer; zero after a successful read.
+	leaseReadFailedAt time.Time
+	// planAt is the earliest time of the next plan; planDue is set if a plan waits for it.
 	planAt  time.Time
 	planDue bool
-	// peers is how many nodes share the traffic, as far as is known.
-	peers int
-	// allowance is this node's part of the retries, and retries what of it is in force.
-	allowance *retry.Allowance
-	retries   retry.Limits
-	suspects  suspects
-	reported  reportMark
-	halls     halls
-	turns     turns
+	// nodeCount is the number of nodes that share the traffic, by the lease holder's latest count.
+	nodeCount int
+	// allowance computes this node's share of the retry limits, and retries is the share in force.
+	allowance   *retry.Allowance
+	retries     retry.Limits
+	suspects    suspects
+	reportAcked reportMark
+	halls       hallState
+	turns       turns
 }
 
 type missKey struct{ engine, pool string }
 
-// New returns a controller; Run starts it.
+// New returns a controller for o. It does nothing until Run is called.
 func New(o Options) *Controller {
 	c := &Controller{
 		o: o, inbox: inbox.New[message](inboxSize),
 		lease: lease.New(o.Self, o.TakeoverDelay), planner: placement.New(o.Limits), directory: directory.New(),
-		misses: make(map[missKey]time.Time), touched: make(map[string]bool), names: make(names), index: newIndex(), all: true, nodes: make(map[string]follower), outage: lease.NewOutage(o.Self.Holder, o.Fenced), pace: paceOf(o.Bound),
+		misses: make(map[missKey]time.Time), touched: make(map[string]bool), names: make(interner), index: newIndex(), rebuildAll: true, nodes: make(map[string]follower), outage: lease.NewOutage(o.Self.Holder, o.Fenced), timing: timingFor(o.Bound),
 	}
 	c.startedAt = o.Clock.Now()
-	c.holder.init()
+	c.published.init()
 	c.relay.init()
-	c.credits.init(o.Self.Life, o.Tolerance)
+	c.quotas.init(o.Self.Life, o.Tolerance)
 	c.suspects.init(&c.o)
-	c.turns.of = quarantine.NewTurns()
-	c.leaseDoubt.Store(true)
+	c.turns.byRequest = quarantine.NewTurns()
+	c.leaseUncertain.Store(true)
 	c.allowance = retry.NewAllowance(o.Retries)
 	c.limitRetries(o.Clock.Now())
 	c.view.Store(&view.View{})
 	return c
 }
 
-// View returns the view in force.
+// View returns the view in force; never nil.
 func (c *Controller) View() *view.View { return c.view.Load() }
 
-// Table returns the configuration in force, or nil.
+// Table returns the configuration in force, or nil if none is known.
 func (c *Controller) Table() *route.Table { return c.table.Load() }
 
 // Stopping reports whether a planned stop has begun.
 func (c *Controller) Stopping() bool { return c.stopping.Load() }
 
-// Ready reports whether the balancer may send callers here.
+// Ready reports whether the platform's load balancer may send traffic to this node.
 func (c *Controller) Ready() bool { return c.View().Ready && !c.Stopping() }
 
 // Holds reports whether this node orders the engines now.
 func (c *Controller) Holds() bool { return c.leading.Load() }
 
-// Run owns the state until the context ends.
+// Run runs the controller until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	defer c.inbox.End()
 	c.startReaders(ctx)
@@ -281,7 +287,7 @@
 	}
 }
 
-// wakeAt returns when the planner has something due.
+// wakeAt returns when the planner next needs to run; ok is false if nothing is scheduled.
 func (c *Controller) wakeAt() (at time.Time, ok bool) {
 	switch {
 	case !c.held:
@@ -293,18 +299,18 @@
 	return at, !at.IsZero()
 }
 
-// tick does what is due by time alone.
+// tick runs the checks that depend on time alone.
 func (c *Controller) tick() {
 	now := c.o.Clock.Now()
-	c.dropLapsed(now)
-	if c.remote.lapsed(now) || c.halls.warmed(now) {
+	c.dropExpired(now)
+	if c.holderState.expired(now) || c.halls.becameWarm(now) {
 		c.touchAll()
 	}
 	if c.held {
-		c.forgetNodes(now)
+		c.dropSilentNodes(now)
 		c.planTree(now)
 	}
-	c.watchSuspects(now)
+	c.checkSuspects(now)
 	c.limitRetries(now)
 	for k, until := range c.misses {
 		if now.After(until) {
@@ -314,8 +320,8 @@
 	}
 }
 
-// dropLapsed takes the endpoints out of use that have come to be believed gone since the last look.
-func (c *Controller) dropLapsed(now time.Time) {
+// dropExpired updates the endpoints whose entries have expired from the directory since the last check.
+func (c *Controller) dropExpired(now time.Time) {
 	lapsed := false
 	for _, id := range c.directory.Leaving() {
 		if c.index.has(id) && c.directory.Find(id, now) == nil {
@@ -328,30 +334,30 @@
 	}
 }
 
-// step acts on what is known now: lease, orders, reports, view.
+// step acts on the current state: lease, draining, reports, quotas, verdicts, orders and view.
 func (c *Controller) step(ctx context.Context) {
 	now := c.o.Clock.Now()
-	c.keepLease(ctx, now)
-	c.markLease()
-	c.noteStarts()
-	c.drainLeaving(now)
-	c.report(ctx, now)
-	c.keepCredit(ctx, now)
-	c.keepVerdicts(ctx, now)
+	c.maintainLease(ctx, now)
+	c.updateLatestLease()
+	c.logRestarts()
+	c.applyDraining(now)
+	c.sendReport(ctx, now)
+	c.probeQuotaHolder(ctx, now)
+	c.storeVerdicts(ctx, now)
 	if c.held && !c.paused {
-		c.orders(ctx, now)
+		c.sendOrders(ctx, now)
 	}
-	if c.stale {
-		c.stale = false
+	if c.viewStale {
+		c.viewStale = false
 		c.publish(now)
 	}
 }
 
-// keepLease renews or takes the lease, and notes when it is gained or lost.
-func (c *Controller) keepLease(ctx context.Context, now time.Time) {
-	c.yield(ctx, now)
-	if c.lease.Wants(now) && !c.yielding && !c.stopping.Load() && !c.holderKept(now) && !c.blind(now) {
-		c.lease.SetMembers(c.credits.members(now))
+// maintainLease renews or takes the lease, and starts or ends this node's term when the lease is gained or lost.
+func (c *Controller) maintainLease(ctx context.Context, now time.Time) {
+	c.handOver(ctx, now)
+	if c.lease.Wants(now) && !c.handingOver && !c.stopping.Load() && !c.defersToHolder(now) && !c.listTimedOut(now) {
+		c.lease.SetMembers(c.quotas.members(now))
 		rec := c.lease.Begin(now, c.outage.Others(now))
 		go c.append(ctx, c.lease.End(), rec)
 	}
@@ -363,18 +369,18 @@
 	why := ""
 	switch {
 	case held:
-		c.holder.extend(c.lease.Until())
+		c.published.extend(c.lease.Until())
 		c.outage.Acting(now)
 	case c.held:
 		var verdict lease.Verdict
 		verdict, why = c.outage.Decide(c.lease, now)
 		held, c.paused = verdict != lease.GiveUp, verdict == lease.Pause
 		if verdict == lease.GoOn {
-			c.holder.extend(now.Add(awayStep))
+			c.published.extend(now.Add(unleasedOrderWindow))
 		}
 	}
-	c.holder.setStoreDoubt(held && c.outage.Doubts(c.lease, now))
-	if held && c.held && c.listed && !c.shown {
+	c.published.setHolderLostStore(held && c.outage.Doubts(c.lease, now))
+	if held && c.held && c.listed && !c.termPublished {
 		c.beginTerm(fence, now)
 	}
 	if held == c.held {
@@ -383,9 +389,9 @@
 	c.held = held
 	c.leading.Store(held)
 	if held {
-		// The one before may have kept more; what this node knows is compared with it anew.
-		c.suspects.read.Store(false)
-		c.suspects.keptTo = 0
+		// The previous holder may have stored more verdicts; compare the store with this node's state again.
+		c.suspects.storeRead.Store(false)
+		c.suspects.storedTo = 0
 	}
 	holder, _ := c.lease.Holder()
 	if held {
@@ -393,64 +399,67 @@
 		c.o.Logger.Info("lease gained", "fence", fence)
 		c.outage.Gained(c.lease, now)
 		c.relay.end()
-		c.inherited = c.remote.serving
+		c.inherited = c.holderState.serving
 		c.listChanged(now)
 		c.planner.Reset(fence == lease.FirstFence, now)
-		c.credits.begin(c.lease.Members(), now)
+		c.quotas.begin(c.lease.Members(), now)
 		if t := c.table.Load(); t != nil {
-			// First: nodes take the age of the configuration for that of the one shown.
-			c.holder.showConfig(t.Config)
+			// Set the configuration before the term begins: followers apply the age of the configuration to the one
+			// that they are sent.
+			c.published.setConfig(t.Config)
 		}
-		c.holder.showEvacuations(c.halls.evacuated.Halls(), c.halls.evacuated.AsOf())
-		c.holder.collect(now, int(c.feeding.nodes.Load()), c.feeding.plan())
+		c.published.setEvacuations(c.halls.evacuated.Halls(), c.halls.evacuated.AsOf())
+		c.published.collectQuestions(now, int(c.feeding.nodes.Load()), c.feeding.plan())
 		c.setNodes(len(c.nodes)+1, now)
-		c.shown = false
+		c.termPublished = false
 		if c.listed {
 			c.beginTerm(fence, now)
 		}
-		c.holder.showLease(holder, c.lease.End()-1)
+		c.published.setLease(holder, c.lease.End()-1)
 	} else {
 		c.o.Logger.Info("lease lost", "holder", holder.Holder, "fence", fence, "why", why)
-		c.holder.end()
-		c.credits.end()
+		c.published.end()
+		c.quotas.end()
 	}
 	c.touchAll()
 }
 
-// beginTerm shows this node's board. Each term has a name of its own: what vanished between two terms of one process
-// is told to nobody as gone, so that nodes must take the list for all there is.
+// beginTerm publishes this node's state under an incarnation of its own. A removal between two terms of one process
+// is not recorded in the publication, so that followers must replace their lists with the full one.
 func (c *Controller) beginTerm(fence uint64, now time.Time) {
 	c.terms++
-	c.shown = true
-	c.holder.begin(fmt.Sprintf("%s/%d", c.o.Self.Life, c.terms), fence, c.allowance.Nodes(now), c.directory.Records(now), c.listedTo)
+	c.termPublished = true
+	c.published.begin(fmt.Sprintf("%s/%d", c.o.Self.Life, c.terms), fence, c.allowance.Nodes(now), c.directory.Records(now), c.listedTo)
 }
 
-// listWithin is how long a holder may take to read the list of endpoints: one that cannot hands over by silence.
-const listWithin = 3 * time.Second
+// listTimeout is how long a lease holder may take to read the list of endpoints. A holder that cannot read it stops
+// renewing, so that another node takes over.
+const listTimeout = 3 * time.Second
 
-// blind reports whether this node holds the lease and cannot read the list of endpoints, or lately did.
-func (c *Controller) blind(now time.Time) bool {
+// listTimedOut reports whether this node holds the lease and could not read the list of endpoints in time, or did so
+// within the last two lease periods.
+func (c *Controller) listTimedOut(now time.Time) bool {
 	if c.listed || c.heldSince.IsZero() {
 		return false
 	}
 	since := now.Sub(c.heldSince)
-	return since > listWithin && since < listWithin+2*lease.TTL
+	return since > listTimeout && since < listTimeout+2*lease.TTL
 }
 
-// awayStep is how far ahead a holder without a lease allows itself orders. With
-// [lease.VouchFresh] it is less than holderFresh.
-const awayStep = 300 * time.Millisecond
+// unleasedOrderWindow is how far ahead a holder whose lease has expired permits its own orders. Together with
+// [lease.VouchFresh] it is less than holderTTL.
+const unleasedOrderWindow = 300 * time.Millisecond
 
-// holderKept reports whether a holder that could not renew is left in place: it is
-// heard of, and the store was away from here too.
-func (c *Controller) holderKept(now time.Time) bool {
-	return !c.held && c.remote.fresh && c.outage.FailedLately(now)
+// defersToHolder reports whether this node leaves a holder that could not renew in place: the holder still sends
+// snapshots, and the store did not answer this node either.
+func (c *Controller) defersToHolder(now time.Time) bool {
+	return !c.held && c.holderState.fresh && c.outage.FailedLately(now)
 }
 
-// append appends a record of the lease and tells the owner what became of it.
+// append appends a lease record and sends the result to the owner.
 func (c *Controller) append(ctx context.Context, at uint64, rec lease.Record) {
 	begun := c.o.Clock.Now()
-	offset, err := c.store(ctx, at, rec)
+	offset, err := c.appendLease(ctx, at, rec)
 	if err != nil {
 		c.inbox.Send(ctx, leaseFailed{err})
 		return
@@ -458,8 +467,8 @@
 	c.inbox.Send(ctx, leaseAppended{rec, offset, begun})
 }
 
-// store appends a record of the lease if its topic ends at an offset.
-func (c *Controller) store(ctx context.Context, at uint64, rec lease.Record) (offset uint64, err error) {
+// appendLease appends a lease record at an offset, and fails if the topic does not end there.
+func (c *Controller) appendLease(ctx context.Context, at uint64, rec lease.Record) (offset uint64, err error) {
 	raw, err := json.Marshal(rec)
 	if err != nil {
 		return 0, err
@@ -479,20 +488,21 @@
 func (m leaseAppended) handle(c *Controller) {
 	c.lease.Appended(m.offset, c.o.Clock.Now())
 	c.outage.Renewed(c.o.Clock.Now())
-	// A holder does not read the lease, which else shows that the store answers.
-	c.reach.gotAnswer(m.begun)
-	c.holder.showLease(m.rec, m.offset)
+	// A holder does not read the lease topic, so that its appends are what shows that the store answers.
+	c.storeHealth.succeeded(m.begun)
+	c.published.setLease(m.rec, m.offset)
 }
 
 type leaseFailed struct{ err error }
 
 func (m leaseFailed) handle(c *Controller) {
-	c.o.Logger.Debug("append to the lease failed", "error", m.err.Error())
+	c.o.Logger.Debug("append of a lease record failed", "error", m.err.Error())
 	c.lease.Failed(c.o.Clock.Now())
-	c.leaseDoubt.Store(true)
+	c.leaseUncertain.Store(true)
 }
 
-// Stop begins a planned stop: no more orders, and the lease is given up.
+// Stop begins a planned stop: the node reports that it is stopping and releases the lease if it holds it. ctx bounds
+// the release.
 func (c *Controller) Stop(ctx context.Context) {
 	c.stopping.Store(true)
 	c.inbox.Send(ctx, stop{ctx})
@@ -501,7 +511,7 @@
 type stop struct{ ctx context.Context }
 
 func (m stop) handle(c *Controller) {
-	// The holder should hear of the stop.
+	// Report the stop to the lease holder at once.
 	c.dirty = true
 	rec, ok := c.lease.Releasing()
 	if !ok || c.released {
--- a/internal/placer/doc.go
+++ b/internal/placer/doc.go
@@ -1,17 +1,18 @@
-// Package placer is the control side of a node that runs on the users' platform.
+// Package placer is the control side of a node: it learns the configuration, the list of endpoints and the units that
+// each engine serves, takes part in the election of the lease holder, and publishes the view by which
+// internal/traffic routes requests. While the node holds the lease, the package also orders engines to load and
+// unload units. cmd starts one [Controller] per process.
 //
-// The problem: every node must know the configuration, the endpoints and what
-// each engine holds, and one of them must order the engines. The model: one
-// goroutine, [Controller.Run], owns all that is known; readers of the store,
-// peers and replies send it typed messages, and it publishes an immutable view.
-// A node that holds the lease (core/lease) feeds the planner (core/placement)
-// with the reports of all nodes and sends its orders; the others report to the
-// holder and are told what the engines serve.
+// The model is a single owner. The goroutine of [Controller.Run] owns the state; readers of the log store, handlers
+// of calls from other nodes and completed calls send it typed messages, and it publishes an immutable view. The lease
+// holder (core/lease) feeds the planner (core/placement) with the reports of all nodes and sends the planner's orders
+// to the engines. Every other node, a follower, reports to the lease holder and receives snapshots of its state by
+// long polling, either from the lease holder itself or from a feeder, a node that relays the lease holder's snapshots
+// (core/feedtree).
 //
-// What is believed, and from whom, in this order: that an engine is there, or
-// leaves, is the store's word, or the engine's own when it refuses work as
-// leaving; what it serves is the holder's word while that is fresh
-// ([holderFresh]), else the engine's own entry in the store; that it lacks a unit
-// is its own word for [missLife]. While the store is away all of that stands, and
-// only the lease runs out.
+// Several sources can describe an endpoint. Whether it exists or is draining is decided by the store, or by the
+// endpoint itself when it refuses work because it is draining. What an engine serves is decided by the lease holder
+// while its latest snapshot is fresh ([holderTTL]), otherwise by the engine's own entry in the store. An engine's
+// reply that it lacks a unit overrides both for [missTTL]. While the store is unavailable all of this stays in force;
+// only the lease expires.
 package placer
--- a/internal/placer/feeding.go
+++ b/internal/placer/feeding.go
@@ -13,72 +13,77 @@
 	"olivetiller/io/peer"
 )
 
-// Times of the feed tree.
+// Times and limits of the feed tree.
 const (
-	// settleTime is how long a holder that knows of no others collects questions before it plans who feeds whom.
-	settleTime = 300 * time.Millisecond
-	// planTreeEvery is the time between two plans.
+	// collectWindow is how long a lease holder that knows of no other nodes collects questions before it plans the
+	// feed tree.
+	collectWindow = 300 * time.Millisecond
+	// planTreeEvery is the interval between two plans.
 	planTreeEvery = time.Second
-	// askerLife is how long a node counts that has asked and not reported.
-	askerLife = 3 * time.Second
-	// avoidFor is how long a node asks others than a feeder that did not feed it.
+	// requesterTTL is how long a node that asked for snapshots, but sent no report, counts as present.
+	requesterTTL = 3 * time.Second
+	// avoidFor is how long a node does not ask a feeder that failed to answer or sent outdated state.
 	avoidFor = 2 * time.Second
-	// orphanFeeds bounds the nodes that the holder feeds since none of their feeders does.
-	orphanFeeds = feedtree.FanOut / 2
-	// leaseReadsPerSecond bounds how many nodes of a large fleet begin to read the lease in a second.
+	// maxDirectFollowers bounds the nodes that the lease holder serves directly because none of their feeders
+	// answers.
+	maxDirectFollowers = feedtree.FanOut / 2
+	// leaseReadsPerSecond bounds how many nodes of a large fleet begin to read the lease topic per second.
 	leaseReadsPerSecond = 400
-	// orphanPause is the pause of a node that neither a feeder nor the holder feeds.
-	orphanPause = 500 * time.Millisecond
-	// emptyPause is the pause after an answer without news that came at once.
+	// redirectPause is the pause of a node whose feeders do not answer and which the lease holder has redirected to
+	// them.
+	redirectPause = 500 * time.Millisecond
+	// emptyPause is the pause after a redirect that came at once.
 	emptyPause = 50 * time.Millisecond
 )
 
-// feeding is what this node knows of the feed tree. Its atomic fields are read by the watcher and the readers.
-type feeding struct {
-	// feeders are those of the latest plan known here; nil for none.
+// feedState is what this node knows of the feed tree. The watcher and the readers use its atomic fields.
+type feedState struct {
+	// feeders are the feeders of the latest plan known here; nil if there is none.
 	feeders atomic.Pointer[[]feedtree.Node]
-	// nodes is how many nodes share the traffic; 0 for unknown.
+	// nodes is how many nodes share the traffic; 0 if unknown.
 	nodes atomic.Int64
-	// plannedAt is when this node, as the holder, last planned. It belongs to the owner.
+	// plannedAt is when this node, as the lease holder, last made a plan. It belongs to the owner.
 	plannedAt time.Time
 }
 
-func (f *feeding) plan() []feedtree.Node {
+func (f *feedState) plan() []feedtree.Node {
 	if p := f.feeders.Load(); p != nil {
 		return *p
 	}
 	return nil
 }
 
-// feeds reports whether this node feeds others by the latest plan known.
-func (c *Controller) feeds() bool { return feedtree.IsFeeder(c.feeding.plan(), c.o.Self.Holder) }
+// isFeeder reports whether this node is a feeder by the latest plan known.
+func (c *Controller) isFeeder() bool { return feedtree.IsFeeder(c.feeding.plan(), c.o.Self.Holder) }
 
-// plans reports whether this node keeps what a planner of orders needs, since it may have to lead at once.
-func (c *Controller) plans() bool {
-	return c.held || c.feeding.nodes.Load() <= feedtree.FanOut || c.feeds()
+// maintainsPlanner reports whether this node keeps the planner's list of engines up to date, because it holds the
+// lease or may have to take it at once: it is a feeder, or the fleet is small.
+func (c *Controller) maintainsPlanner() bool {
+	return c.held || c.feeding.nodes.Load() <= feedtree.FanOut || c.isFeeder()
 }
 
-// draw is this node's place among all nodes, from 0 to 1.
-func (c *Controller) draw() float64 {
+// hashFraction maps this node to a fixed, evenly distributed number in [0, 1), by which nodes spread their reads of
+// the store over time.
+func (c *Controller) hashFraction() float64 {
 	return float64(xxhash.Sum64String(c.o.Self.Life)>>11) / (1 << 53)
 }
 
-// followPlan takes over a plan of the feed tree; nil for one without feeders.
-func (c *Controller) followPlan(feeders []feedtree.Node) {
-	was := c.feeds()
+// applyFeedPlan puts a feed plan in force; feeders is nil for a plan without feeders.
+func (c *Controller) applyFeedPlan(feeders []feedtree.Node) {
+	was := c.isFeeder()
 	c.feeding.feeders.Store(&feeders)
-	if is := c.feeds(); is != was {
-		c.o.Logger.Info("place in the feed tree", "feeds", is, "feeders", len(feeders), "nodes", c.feeding.nodes.Load())
+	if is := c.isFeeder(); is != was {
+		c.o.Logger.Info("role in the feed tree changed", "feeds", is, "feeders", len(feeders), "nodes", c.feeding.nodes.Load())
 	}
 }
 
-// planTree has the holder decide who feeds whom.
+// planTree plans the feed tree at the lease holder and publishes the plan.
 func (c *Controller) planTree(now time.Time) {
-	if !c.holder.settled(now) || now.Sub(c.feeding.plannedAt) < planTreeEvery {
+	if !c.published.mayPlan(now) || now.Sub(c.feeding.plannedAt) < planTreeEvery {
 		return
 	}
 	c.feeding.plannedAt = now
-	nodes := c.holder.askersAt(now)
+	nodes := c.published.recentRequesters(now)
 	for name, f := range c.nodes {
 		nodes[name] = feedtree.Node{Name: name, Address: f.address, Hall: f.hall, Strength: f.strength}
 	}
@@ -89,20 +94,21 @@
 	}
 	feeders := feedtree.Plan(list, c.feeding.plan())
 	c.setNodes(len(list)+1, now)
-	c.followPlan(feeders)
-	c.holder.showFeeders(feeders, len(list)+1)
+	c.applyFeedPlan(feeders)
+	c.published.setFeeders(feeders, len(list)+1)
 }
 
-// source is whom a node asks for news.
+// source is a node that this node asks for snapshots.
 type source struct {
 	address string
-	// feeder is true for a feeder, false for the holder.
+	// feeder is true for a feeder, false for the lease holder.
 	feeder bool
-	// orphan is true where no feeder feeds this node.
-	orphan bool
+	// noFeeder is true if the plan has feeders for this node, but all of them are being avoided.
+	noFeeder bool
 }
 
-// sourceOf returns whom to ask, but for those to be avoided until a moment.
+// sourceOf returns the node to ask for snapshots: the first of this node's feeders that avoid, by address and end
+// time, does not exclude, otherwise the lease holder h.
 func (c *Controller) sourceOf(h lease.Record, avoid map[string]time.Time, now time.Time) source {
 	choices := feedtree.Choices(c.feeding.plan(), c.o.Self.Holder, c.o.Hall)
 	for _, f := range choices {
@@ -110,95 +116,100 @@
 			return source{address: f.Address, feeder: true}
 		}
 	}
-	return source{address: h.Address, orphan: len(choices) > 0}
+	return source{address: h.Address, noFeeder: len(choices) > 0}
 }
 
-// readsItself reports whether this node, which nobody feeds, is to read the store for itself by now.
-func (c *Controller) readsItself() bool {
-	return c.leading.Load() || c.unfedFor() >= feedtree.Patience(int(c.feeding.nodes.Load()), c.draw())
+// shouldReadStore reports whether this node should read the store itself: it holds the lease, or has received no
+// relayed state for longer than its share of feedtree.Patience, which spreads the reads of a large fleet over time.
+func (c *Controller) shouldReadStore() bool {
+	return c.leading.Load() || c.timeSinceRelay() >= feedtree.Patience(int(c.feeding.nodes.Load()), c.hashFraction())
 }
 
-// readsLease reports whether this node, which nobody feeds, is to read the lease by now. One that was never fed, or that
-// feeds others, does so at once.
-func (c *Controller) readsLease() bool {
+// shouldReadLease reports whether this node should read the lease topic itself. In a large fleet a node that has lost
+// its source waits for its turn, at a rate of leaseReadsPerSecond; a feeder, or a node that never received relayed
+// state, reads at once.
+func (c *Controller) shouldReadLease() bool {
 	nodes := c.feeding.nodes.Load()
-	if c.leading.Load() || c.fed.Load() == nil || nodes <= feedtree.FanOut || c.feeds() {
+	if c.leading.Load() || c.relayed.Load() == nil || nodes <= feedtree.FanOut || c.isFeeder() {
 		return true
 	}
-	return c.unfedFor() >= time.Duration(c.draw()*float64(nodes)/leaseReadsPerSecond*float64(time.Second))
+	return c.timeSinceRelay() >= time.Duration(c.hashFraction()*float64(nodes)/leaseReadsPerSecond*float64(time.Second))
 }
 
-// unfedFor returns for how long nobody has fed this node.
-func (c *Controller) unfedFor() time.Duration {
+// timeSinceRelay returns how long the relayed state has been outdated, or the time since the start if none was
+// received. It is negative while the relayed state is fresh.
+func (c *Controller) timeSinceRelay() time.Duration {
 	since := c.startedAt
-	if m := c.fed.Load(); m != nil {
-		since = m.at.Add(c.pace.feedFresh)
+	if m := c.relayed.Load(); m != nil {
+		since = m.at.Add(c.timing.relayTTL)
 	}
 	return c.o.Clock.Now().Sub(since)
 }
 
-// asksAll reports whether a holder that gets no answer of the store needs the word of every node on that.
-func (c *Controller) asksAll() bool {
+// needsAllReports reports whether a lease holder that the store does not answer needs to know of every node whether
+// the store answers it: engines do not check fences, or the fleet is small.
+func (c *Controller) needsAllReports() bool {
 	return !c.o.Fenced || c.feeding.nodes.Load() <= feedtree.FanOut
 }
 
-// admission is what the holder does with a question.
+// admission is the lease holder's decision on a question.
 type admission uint8
 
 const (
-	// feedDirectly answers the question with what is known.
-	feedDirectly admission = iota
-	// waitForPlan keeps the question until it is known who feeds whom.
+	// serveDirectly answers the question with a snapshot.
+	serveDirectly admission = iota
+	// waitForPlan keeps the question open until there is a feed plan.
 	waitForPlan
-	// redirect names the feeders to ask.
+	// redirect answers with the feeders to ask instead.
 	redirect
 )
 
-// asker is a node that has asked the holder.
-type asker struct {
+// requester is a node that has asked the lease holder for a snapshot.
+type requester struct {
 	node feedtree.Node
 	at   time.Time
-	// orphan is true while the holder feeds the node since no feeder does.
-	orphan bool
+	// noFeeder is true while the lease holder serves the node directly because none of its feeders answers.
+	noFeeder bool
 }
 
-// admit decides on a question to the holder, and notes who has asked.
-func (b *board) admit(q *peer.Question, now time.Time) admission {
+// admit decides on a question to the lease holder and records the requester.
+func (b *publication) admit(q *peer.Question, now time.Time) admission {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.askers[q.Node] = asker{feedtree.Node{Name: q.Node, Address: q.Address, Hall: q.Hall, Strength: q.Strength}, now, q.Orphan}
+	b.requesters[q.Node] = requester{feedtree.Node{Name: q.Node, Address: q.Address, Hall: q.Hall, Strength: q.Strength}, now, q.Orphan}
 	switch {
-	case b.life == "", now.Before(b.settledAt):
+	case b.incarnation == "", now.Before(b.collectUntil):
 		return waitForPlan
-	case len(b.feeders) == 0 && len(b.askers) > feedtree.FanOut && !b.planned:
+	case len(b.feeders) == 0 && len(b.requesters) > feedtree.FanOut && !b.planned:
 		return waitForPlan
 	case len(b.feeders) == 0, feedtree.IsFeeder(b.feeders, q.Node):
-		return feedDirectly
-	case q.Orphan && b.orphans(now) <= orphanFeeds:
-		return feedDirectly
+		return serveDirectly
+	case q.Orphan && b.directFollowers(now) <= maxDirectFollowers:
+		return serveDirectly
 	}
 	return redirect
 }
 
-// orphans counts the nodes that the holder feeds since no feeder does. It is called with the lock.
-func (b *board) orphans(now time.Time) int {
+// directFollowers counts the recent requesters without a feeder, which the lease holder serves directly. The caller
+// holds b.mu.
+func (b *publication) directFollowers(now time.Time) int {
 	n := 0
-	for _, a := range b.askers {
-		if a.orphan && now.Sub(a.at) <= askerLife {
+	for _, a := range b.requesters {
+		if a.noFeeder && now.Sub(a.at) <= requesterTTL {
 			n++
 		}
 	}
 	return n
 }
 
-// askersAt returns the nodes that asked lately, by name, and forgets the others.
-func (b *board) askersAt(now time.Time) map[string]feedtree.Node {
+// recentRequesters returns the nodes that asked within requesterTTL, by name, and drops the others.
+func (b *publication) recentRequesters(now time.Time) map[string]feedtree.Node {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[string]feedtree.Node, len(b.askers))
-	for name, a := range b.askers {
-		if now.Sub(a.at) > askerLife {
-			delete(b.askers, name)
+	out := make(map[string]feedtree.Node, len(b.requesters))
+	for name, a := range b.requesters {
+		if now.Sub(a.at) > requesterTTL {
+			delete(b.requesters, name)
 			continue
 		}
 		out[name] = a.node
@@ -206,20 +217,21 @@
 	return out
 }
 
-// settled reports whether the holder may plan who feeds whom.
-func (b *board) settled(now time.Time) bool {
+// mayPlan reports whether the lease holder may plan the feed tree: its term is published and the collection of
+// questions is over.
+func (b *publication) mayPlan(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.life != "" && !now.Before(b.settledAt)
+	return b.incarnation != "" && !now.Before(b.collectUntil)
 }
 
-// showFeeders shows a plan, and lets the questions go on that wait for one.
-func (b *board) showFeeders(feeders []feedtree.Node, nodes int) {
+// setFeeders publishes a feed plan and wakes the questions that wait for one.
+func (b *publication) setFeeders(feeders []feedtree.Node, nodes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	first := !b.planned
 	b.planned = true
-	// Who is redirected takes its patience from this.
+	// A redirected node derives from this count how long it waits before it reads the store.
 	b.nodes = max(b.nodes, nodes)
 	if !feedtree.SamePlan(b.feeders, feeders) {
 		b.wakeAll()
@@ -231,36 +243,38 @@
 	}
 }
 
-// collect begins to collect questions, before the list was read: known is how many nodes there were, 0 for unknown.
-func (b *board) collect(now time.Time, known int, feeders []feedtree.Node) {
+// collectQuestions begins to accept questions before the list of endpoints was read. known is the number of nodes
+// under the previous lease holder; 0 if unknown.
+func (b *publication) collectQuestions(now time.Time, known int, feeders []feedtree.Node) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.opening, b.askers, b.planned = true, make(map[string]asker), known > 0
-	b.feeders, b.settledAt = feeders, now
+	b.collecting, b.requesters, b.planned = true, make(map[string]requester), known > 0
+	b.feeders, b.collectUntil = feeders, now
 	if known == 0 {
-		b.settledAt = now.Add(settleTime)
+		b.collectUntil = now.Add(collectWindow)
 	}
 }
 
-// answers reports whether questions may be put to the board: it shows something, or will.
-func (b *board) answers() (shown, opening bool) {
+// status reports whether a term is published, and whether questions are collected for one that is about to be.
+// Questions are accepted in both cases.
+func (b *publication) status() (shown, opening bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.life != "", b.opening
+	return b.incarnation != "", b.collecting
 }
 
-// redirected returns the answer that names whom to ask.
-func (b *board) redirected() *peer.Snapshot {
+// redirectAnswer returns the snapshot that names the feeders to ask.
+func (b *publication) redirectAnswer() *peer.Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return &peer.Snapshot{Redirect: true, Nodes: b.nodes, Fence: b.fence, Feeders: b.feeders}
 }
 
-// awaitPlan keeps a question to the holder until it can be answered, or its time is over.
+// awaitPlan keeps a question to the lease holder open until it can be decided or q.Wait is over.
 func (c *Controller) awaitPlan(ctx context.Context, w *watcher, q *peer.Question) (admission, error) {
 	timeout := c.o.Clock.After(q.Wait)
 	for {
-		a := c.holder.admit(q, c.o.Clock.Now())
+		a := c.published.admit(q, c.o.Clock.Now())
 		if a != waitForPlan {
 			return a, nil
 		}
@@ -275,26 +289,27 @@
 	}
 }
 
-// feedOthers brings what this node passes on as a feeder up to date with what it was just sent.
-func (c *Controller) feedOthers(s *peer.Snapshot, m heardFrom, now time.Time) {
-	if !c.feeds() {
+// updateRelay brings this feeder's publication up to date with a snapshot that was just received and applied, or ends
+// it if this node is not a feeder.
+func (c *Controller) updateRelay(s *peer.Snapshot, m snapshotReceived, now time.Time) {
+	if !c.isFeeder() {
 		c.relay.end()
 		return
 	}
-	asOf := now.Add(-m.onTheWay - time.Duration(s.AgeMs)*time.Millisecond)
+	asOf := now.Add(-m.transit - time.Duration(s.AgeMs)*time.Millisecond)
 	if !c.relay.mirrors(s.Life) || s.Whole {
-		c.relay.mirrorAll(s, c.remote.serving, c.directory.Records(now), c.listedTo)
+		c.relay.mirrorAll(s, c.holderState.serving, c.directory.Records(now), c.listedTo)
 	} else {
 		c.relay.mirror(s)
 	}
-	c.relay.mirrorFeed(s, c.table.Load(), c.halls.evacuations(), asOf, c.remote.heardAt)
+	c.relay.mirrorFeed(s, c.table.Load(), c.halls.evacuations(), asOf, c.holderState.seenAt)
 }
 
-// recordsOf returns the records with their versions as a board keeps them.
-func recordsOf(records []directory.Record, version uint64) map[string]shownInstance {
-	out := make(map[string]shownInstance, len(records))
+// recordsOf returns the records as entries that changed at a version, by endpoint.
+func recordsOf(records []directory.Record, version uint64) map[string]instanceEntry {
+	out := make(map[string]instanceEntry, len(records))
 	for _, r := range records {
-		out[r.ID] = shownInstance{r, version}
+		out[r.ID] = instanceEntry{r, version}
 	}
 	return out
 }
--- a/internal/placer/feeding_test.go
+++ b/internal/placer/feeding_test.go
@@ -20,7 +20,8 @@
 	"olivetiller/io/peer"
 )
 
-// fleetQuestions returns the questions of nodes dealt over five data halls, some of them strong.
+// fleetQuestions returns one question of each node of a fleet in five data halls; every twentieth node per hall is
+// strong.
 func fleetQuestions(nodes int) []peer.Question {
 	var out []peer.Question
 	for i := range nodes {
@@ -33,30 +34,30 @@
 	return out
 }
 
-// TestHolderFeedsFew guards against a start of all nodes at once in which the holder sends everything to each of them,
-// longer than they wait.
-func TestHolderFeedsFew(t *testing.T) {
+// TestHolderServesFewDirectly guards against a simultaneous start of all nodes in which the lease holder sends the
+// full state to each of them, which takes longer than they wait.
+func TestHolderServesFewDirectly(t *testing.T) {
 	for _, nodes := range []int{71, 300, 984, 2000} {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			c := newController(clock)
 			c.held = true
-			c.holder.collect(clock.Now(), 0, nil)
+			c.published.collectQuestions(clock.Now(), 0, nil)
 			count := func() map[admission]int {
 				out := make(map[admission]int)
 				for _, q := range fleetQuestions(nodes) {
-					out[c.holder.admit(&q, clock.Now())]++
+					out[c.published.admit(&q, clock.Now())]++
 				}
 				return out
 			}
 			if got := count()[waitForPlan]; got != nodes {
 				t.Errorf("%d of %d wait before anything is known", got, nodes)
 			}
-			c.holder.begin("a-1/1", 1, 1, nil, 0)
-			clock.Advance(settleTime)
+			c.published.begin("a-1/1", 1, 1, nil, 0)
+			clock.Advance(collectWindow)
 			c.planTree(clock.Now())
 			got := count()
-			if fed := got[feedDirectly]; nodes <= feedtree.FanOut && fed != nodes || nodes > feedtree.FanOut && fed > feedtree.FanOut {
+			if fed := got[serveDirectly]; nodes <= feedtree.FanOut && fed != nodes || nodes > feedtree.FanOut && fed > feedtree.FanOut {
 				t.Errorf("%v, want %d fed directly at most", got, feedtree.FanOut)
 			}
 			if got[waitForPlan] > 0 {
@@ -65,13 +66,13 @@
 			if n := c.feeding.nodes.Load(); n != int64(nodes)+1 {
 				t.Errorf("%d nodes known, want %d", n, nodes+1)
 			}
-			if s := c.holder.redirected(); s.Nodes != nodes+1 {
+			if s := c.published.redirectAnswer(); s.Nodes != nodes+1 {
 				t.Errorf("redirected nodes are sent a count of %d, want %d: a smaller one has them read the store at once", s.Nodes, nodes+1)
 			}
 			fed := 0
 			for _, q := range fleetQuestions(nodes) {
 				q.Orphan = true
-				if c.holder.admit(&q, clock.Now()) == feedDirectly {
+				if c.published.admit(&q, clock.Now()) == serveDirectly {
 					fed++
 				}
 			}
@@ -82,7 +83,8 @@
 	}
 }
 
-// TestNextFeederIsAsked checks whom a node asks while its feeders are lost, one after the other.
+// TestNextFeederIsAsked checks which node is asked while feeders fail one after the other: the feeders of the own
+// data hall, then the lease holder.
 func TestNextFeederIsAsked(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	c := newController(clock)
@@ -93,7 +95,7 @@
 	if diff := cmp.Diff(source{address: "z:1"}, ask(), cmp.AllowUnexported(source{})); diff != "" {
 		t.Errorf("without feeders (-want +got):\n%s", diff)
 	}
-	c.followPlan([]feedtree.Node{{Name: "x", Address: "x:1", Hall: "h"}, {Name: "y", Address: "y:1", Hall: "h"}, {Name: "w", Address: "w:1", Hall: "i"}})
+	c.applyFeedPlan([]feedtree.Node{{Name: "x", Address: "x:1", Hall: "h"}, {Name: "y", Address: "y:1", Hall: "h"}, {Name: "w", Address: "w:1", Hall: "i"}})
 	first := ask()
 	if !first.feeder || first.address == "w:1" {
 		t.Errorf("asks %+v, want a feeder of its own data hall", first)
@@ -104,40 +106,41 @@
 		t.Errorf("asks %+v after %+v, want the other feeder of its data hall", second, first)
 	}
 	avoid[second.address], avoid["w:1"] = clock.Now().Add(avoidFor), clock.Now().Add(avoidFor)
-	if diff := cmp.Diff(source{address: "z:1", orphan: true}, ask(), cmp.AllowUnexported(source{})); diff != "" {
+	if diff := cmp.Diff(source{address: "z:1", noFeeder: true}, ask(), cmp.AllowUnexported(source{})); diff != "" {
 		t.Errorf("without any feeder (-want +got):\n%s", diff)
 	}
 	clock.Advance(avoidFor + time.Millisecond)
 	if diff := cmp.Diff(first, ask(), cmp.AllowUnexported(source{})); diff != "" {
 		t.Errorf("later (-want +got):\n%s", diff)
 	}
-	c.followPlan([]feedtree.Node{{Name: "a", Address: "a:1", Hall: "h"}})
+	c.applyFeedPlan([]feedtree.Node{{Name: "a", Address: "a:1", Hall: "h"}})
 	if diff := cmp.Diff(source{address: "z:1"}, ask(), cmp.AllowUnexported(source{})); diff != "" {
 		t.Errorf("as a feeder itself (-want +got):\n%s", diff)
 	}
 }
 
-// feedSite is a holder's board with two feeders and a leaf that goes from one to another.
+// feedSite is a lease holder's publication with two feeders and a leaf node, which receives snapshots from either
+// feeder or from the lease holder.
 type feedSite struct {
 	now     time.Time
-	holder  board
+	holder  publication
 	feeders [2]*feedFollower
 	leaf    *feedFollower
 	records map[string]directory.Record
 	offset  uint64
-	// readAt is when the holder last read the store to its end.
+	// readAt is when the lease holder last read the store to its end.
 	readAt time.Time
 }
 
-// feedFollower is a node that is fed, with what it passes on.
+// feedFollower is a node that receives snapshots, with the publication that it relays.
 type feedFollower struct {
-	life    string
-	version uint64
-	serving map[string][]string
-	list    *directory.Directory
-	relay   board
-	// heardAt and asOf are the moments that the node believes the holder's word and the store's to be of.
-	heardAt, asOf time.Time
+	incarnation string
+	version     uint64
+	serving     map[string][]string
+	list        *directory.Directory
+	relay       publication
+	// holderSeenAt and asOf are the times that the node assigns to the lease holder's state and to the store state in it.
+	holderSeenAt, asOf time.Time
 }
 
 func newFeedFollower() *feedFollower {
@@ -157,9 +160,9 @@
 	return s
 }
 
-// fetch has a node ask a board; the answer is on its way for a while, or gets lost.
-func (s *feedSite) fetch(f *feedFollower, from *board, way time.Duration, lost bool) {
-	snap, _, ok := from.snapshot(peer.Question{Node: "f", Life: f.life, Version: f.version}, s.now)
+// fetch has f ask a publication. The answer takes a time to arrive, or is lost.
+func (s *feedSite) fetch(f *feedFollower, from *publication, way time.Duration, lost bool) {
+	snap, _, ok := from.snapshot(peer.Question{Node: "f", Life: f.incarnation, Version: f.version}, s.now)
 	s.now = s.now.Add(way)
 	if !ok || lost {
 		return
@@ -177,18 +180,18 @@
 	for _, r := range snap.Instances {
 		f.list.Apply(r, s.now)
 	}
-	f.heardAt = s.now.Add(-way - time.Duration(snap.HolderMs)*time.Millisecond)
+	f.holderSeenAt = s.now.Add(-way - time.Duration(snap.HolderMs)*time.Millisecond)
 	f.asOf = s.now.Add(-way - time.Duration(snap.AgeMs)*time.Millisecond)
 	if !f.relay.mirrors(snap.Life) || snap.Whole {
 		f.relay.mirrorAll(snap, f.serving, f.list.Records(s.now), snap.ListedTo)
 	} else {
 		f.relay.mirror(snap)
 	}
-	f.relay.mirrorFeed(snap, nil, nil, f.asOf, f.heardAt)
-	f.life, f.version = snap.Life, snap.Version
+	f.relay.mirrorFeed(snap, nil, nil, f.asOf, f.holderSeenAt)
+	f.incarnation, f.version = snap.Life, snap.Version
 }
 
-// change has the holder learn something of an endpoint.
+// change adds, changes or removes a random endpoint at the lease holder.
 func (s *feedSite) change(t *rapid.T) {
 	id := rapid.SampledFrom([]string{"e1", "e2", "e3", "e4"}).Draw(t, "endpoint")
 	s.offset++
@@ -199,22 +202,22 @@
 	}
 	list := slices.SortedFunc(maps.Values(s.records), func(a, b directory.Record) int { return int(a.Version) - int(b.Version) })
 	s.readAt = s.now
-	s.holder.showInstances(list, s.offset)
+	s.holder.publishInstances(list, s.offset)
 	s.holder.instancesRead(s.now)
 	s.holder.configRead(s.now)
 	s.holder.mu.Lock()
 	defer s.holder.mu.Unlock()
 	next := s.holder.version + 1
 	if _, there := s.records[id]; there {
-		s.holder.show(nil, id, shown{pools: []string{fmt.Sprint("unit/s/m", s.offset%3)}, version: next}, map[string]bool{})
+		s.holder.setServing(nil, id, servingEntry{pools: []string{fmt.Sprint("unit/s/m", s.offset%3)}, version: next}, map[string]bool{})
 	} else if _, shows := s.holder.serving[id]; shows {
 		delete(s.holder.serving, id)
-		s.holder.goneAt[id] = next
+		s.holder.removedAt[id] = next
 	}
 	s.holder.version = next
 }
 
-// known is what a node knows in the end.
+// known is the state of a node that the test compares.
 type known struct {
 	Serving map[string][]string
 	Slots   map[string]int
@@ -228,9 +231,10 @@
 	return k
 }
 
-// TestLeafKnowsWhatHolderShows checks over random changes, lost answers, new terms and ways through either feeder or the
-// holder itself that a node ends with what the holder shows, and never believes anything to be newer than it is.
-func TestLeafKnowsWhatHolderShows(t *testing.T) {
+// TestLeafMatchesHolder checks that a leaf node ends with the state that the lease holder publishes, and that no node
+// ever considers its state newer than it is, over random changes, lost answers, new terms and snapshots from either
+// feeder or the lease holder.
+func TestLeafMatchesHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newFeedSite()
 		way := rapid.Map(rapid.IntRange(0, 300), func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond })
@@ -258,17 +262,17 @@
 				if n.asOf.After(s.readAt) {
 					t.Fatalf("a node takes the store's word for %v newer than it is", n.asOf.Sub(s.readAt))
 				}
-				if n.heardAt.After(s.now) {
-					t.Fatalf("a node takes the holder's word for %v newer than it is", n.heardAt.Sub(s.now))
+				if n.holderSeenAt.After(s.now) {
+					t.Fatalf("a node takes the holder's word for %v newer than it is", n.holderSeenAt.Sub(s.now))
 				}
 			}
 		}
 		s.fetch(s.feeders[0], &s.holder, 0, false)
-		// The first answer may be of a while ago, where many nodes get the same.
-		s.now = s.now.Add(2 * wholeLife)
+		// The first answer may come from a cached full snapshot.
+		s.now = s.now.Add(2 * fullSnapshotTTL)
 		s.fetch(s.feeders[0], &s.holder, 0, false)
 		s.fetch(s.leaf, &s.feeders[0].relay, 0, false)
-		s.now = s.now.Add(2 * wholeLife)
+		s.now = s.now.Add(2 * fullSnapshotTTL)
 		s.fetch(s.leaf, &s.feeders[0].relay, 0, false)
 		want := known{make(map[string][]string), make(map[string]int)}
 		for id, sh := range s.holder.serving {
@@ -283,14 +287,15 @@
 	})
 }
 
-// TestUnfedNodesReadInTurn guards against nodes that lose their holder together and all read the store at once.
-func TestUnfedNodesReadInTurn(t *testing.T) {
+// TestNodesWithoutFeedSpreadReads guards against nodes that lose their lease holder together and all read the store
+// at the same time.
+func TestNodesWithoutFeedSpreadReads(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	nodes := make([]*Controller, 984)
 	for i := range nodes {
 		nodes[i] = New(Options{Self: lease.Record{Holder: fmt.Sprint("n", i), Life: fmt.Sprint("n", i, "-1")}, Clock: clock, Logger: newController(clock).o.Logger, Dispatcher: newController(clock).o.Dispatcher, Bound: 5 * time.Second})
 		nodes[i].feeding.nodes.Store(984)
-		nodes[i].fed.Store(&fedMark{at: clock.Now()})
+		nodes[i].relayed.Store(&relayMark{at: clock.Now()})
 	}
 	count := func(reads func(c *Controller) bool) int {
 		n := 0
@@ -301,43 +306,43 @@
 		}
 		return n
 	}
-	clock.Advance(nodes[0].pace.feedFresh)
+	clock.Advance(nodes[0].timing.relayTTL)
 	before := 0
 	for range 10 {
 		clock.Advance(time.Second)
-		now := count((*Controller).readsItself)
-		// A tenth more than planned: draws are not even.
+		now := count((*Controller).shouldReadStore)
+		// Some more than a tenth per second: the hash fractions are not perfectly even.
 		if now-before > 44+20 {
 			t.Errorf("%d nodes begin to read in one second, want some 40", now-before)
 		}
 		before = now
 	}
-	if n := count((*Controller).readsLease); n != len(nodes) {
+	if n := count((*Controller).shouldReadLease); n != len(nodes) {
 		t.Errorf("%d of %d nodes read the lease after 10 s", n, len(nodes))
 	}
 }
 
-// TestFeederPassesConfigOn checks that a feeder passes on the configuration that it has in force.
-func TestFeederPassesConfigOn(t *testing.T) {
+// TestFeederRelaysConfig checks that a feeder relays the configuration and the evacuations that it has in force.
+func TestFeederRelaysConfig(t *testing.T) {
 	s := newFeedSite()
 	cfg := &route.Config{Version: 9}
-	s.holder.showConfig(cfg)
+	s.holder.setConfig(cfg)
 	f := s.feeders[0]
 	table, err := route.New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.fetch(f, &s.holder, 0, false)
-	f.relay.mirrorFeed(&peer.Snapshot{Life: f.life, Version: f.version}, table, &peer.Evacuations{Halls: []string{"a"}, AsOf: 3}, s.now, s.now)
+	f.relay.mirrorFeed(&peer.Snapshot{Life: f.incarnation, Version: f.version}, table, &peer.Evacuations{Halls: []string{"a"}, AsOf: 3}, s.now, s.now)
 	snap, _, _ := f.relay.snapshot(peer.Question{Node: "n", Config: 8}, s.now)
 	if snap.Config == nil || snap.Config.Version != 9 || snap.Evacuations == nil || !slices.Equal(snap.Evacuations.Halls, []string{"a"}) {
 		t.Errorf("configuration %v, evacuations %v", snap.Config, snap.Evacuations)
 	}
 }
 
-// TestAllKilledSmallFleetReadsAtOnce guards against nodes of a small fleet which, all started anew, wait for a holder that
-// is no more, while each could read the store; those of a large one take turns.
-func TestAllKilledSmallFleetReadsAtOnce(t *testing.T) {
+// TestSmallFleetReadsAtOnceAfterRestart guards against a small fleet whose nodes were all restarted and wait for a
+// lease holder that no longer exists, while each could read the store. Nodes of a large fleet read in turn.
+func TestSmallFleetReadsAtOnceAfterRestart(t *testing.T) {
 	for _, tt := range []struct {
 		members int
 		want    bool
@@ -348,8 +353,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		leases{logstore.Page[[]byte]{Records: []logstore.Record[[]byte]{{Offset: 0, Value: raw}}, Next: 1, End: 1}}.handle(c)
-		if got := c.readsItself(); got != tt.want {
+		leasePage{logstore.Page[[]byte]{Records: []logstore.Record[[]byte]{{Offset: 0, Value: raw}}, Next: 1, End: 1}}.handle(c)
+		if got := c.shouldReadStore(); got != tt.want {
 			t.Errorf("%d nodes known by the lease: reads at once %t, want %t", tt.members, got, tt.want)
 		}
 	}
--- a/internal/placer/followers.go
+++ b/internal/placer/followers.go
@@ -9,27 +9,28 @@
 	"olivetiller/io/peer"
 )
 
-// Reported implements peer.Holder.
+// Reported implements [peer.Holder]: it takes in a node's report. It returns peer.ErrNotHolder if this node does not
+// hold the lease.
 func (c *Controller) Reported(r *peer.Report) error {
-	if c.lifeShown() == "" {
+	if c.publishedIncarnation() == "" {
 		return peer.ErrNotHolder
 	}
-	c.holder.setInterest(r.Node, r.Use)
-	c.credits.heard(r.Node, r.Alone, c.o.Clock.Now())
+	c.published.setInterest(r.Node, r.Use)
+	c.quotas.noteReport(r.Node, r.Alone, c.o.Clock.Now())
 	if c.suspects.guard.Merge(peer.Entries(r.Suspects, c.o.Clock.Now()), r.Node) {
-		c.showSuspects()
+		c.publishSuspects()
 	}
 	if c.mergeSignals(r.Signals, r.Node, c.o.Clock.Now()) {
-		c.showSignals()
+		c.publishSignals()
 	}
 	c.inbox.Send(context.Background(), nodeReport{r})
 	return nil
 }
 
-func (c *Controller) lifeShown() string {
-	c.holder.mu.Lock()
-	defer c.holder.mu.Unlock()
-	return c.holder.life
+func (c *Controller) publishedIncarnation() string {
+	c.published.mu.Lock()
+	defer c.published.mu.Unlock()
+	return c.published.incarnation
 }
 
 type nodeReport struct{ r *peer.Report }
@@ -39,13 +40,13 @@
 		return
 	}
 	now := c.o.Clock.Now()
-	c.nodes[m.r.Node] = follower{heardAt: now, strength: m.r.Strength, storeAway: m.r.StoreAway, address: m.r.Address, hall: m.r.Hall}
+	c.nodes[m.r.Node] = follower{reportedAt: now, strength: m.r.Strength, storeUnavailable: m.r.StoreAway, address: m.r.Address, hall: m.r.Hall}
 	c.outage.Heard(m.r.Node, lease.Word{At: now, StoreAway: m.r.StoreAway, Stopping: m.r.Stopping})
 	uses := make([]placement.Use, 0, len(m.r.Use))
 	for _, w := range m.r.Use {
 		unit, ok := placement.ParsePool(w.Pool)
 		if !ok {
-			c.o.Logger.Warn("report of an unknown pool passed over", "node", m.r.Node, "pool", w.Pool)
+			c.o.Logger.Warn("reported use of an unknown pool skipped", "node", m.r.Node, "pool", w.Pool)
 			continue
 		}
 		u := placement.Use{Unit: unit, Waiting: w.Waiting, Arrivals: w.Arrivals, SentAway: w.SentAway, Objective: time.Duration(w.ObjectiveMs) * time.Millisecond, RunningAt: w.RunningAt}
@@ -61,16 +62,17 @@
 	}
 }
 
-// forgetNodes drops the nodes that are no longer heard of.
-func (c *Controller) forgetNodes(now time.Time) {
+// dropSilentNodes drops the nodes that have sent no report for a lease period, and updates what depends on the set of
+// nodes: the count, the peer addresses and the successor.
+func (c *Controller) dropSilentNodes(now time.Time) {
 	for n, f := range c.nodes {
-		if now.Sub(f.heardAt) > lease.TTL {
+		if now.Sub(f.reportedAt) > lease.TTL {
 			delete(c.nodes, n)
 		}
 	}
 	c.setNodes(len(c.nodes)+1, now)
-	peers := c.addresses()
-	c.lookup.learn(peers)
-	c.holder.setPeers(peers)
-	c.holder.setSuccessor(c.successor(now))
+	peers := c.peerAddresses()
+	c.lookup.setPeers(peers)
+	c.published.setPeers(peers)
+	c.published.setSuccessor(c.successor(now))
 }
--- a/internal/placer/whole_test.go
+++ b/internal/placer/fullsnapshot_test.go
@@ -10,10 +10,10 @@
 	"olivetiller/io/peer"
 )
 
-// TestWholeSnapshotsShared checks that nodes which ask for everything at once get the same parts, and
-// what has changed since with their next question.
-func TestWholeSnapshotsShared(t *testing.T) {
-	var b board
+// TestFullSnapshotsAreShared checks that nodes which ask for the full state in a short time share the same encoded
+// parts, and receive later changes with their next question.
+func TestFullSnapshotsAreShared(t *testing.T) {
+	var b publication
 	b.init()
 	now := time.Unix(1000, 0)
 	record := func(id string, version uint64) directory.Record {
@@ -23,8 +23,8 @@
 	b.instancesRead(now)
 	b.configRead(now)
 	first, _, _ := b.snapshot(peer.Question{Node: "n"}, now)
-	b.showInstances([]directory.Record{record("e", 3), record("f", 10)}, 11)
-	now = now.Add(wholeLife)
+	b.publishInstances([]directory.Record{record("e", 3), record("f", 10)}, 11)
+	now = now.Add(fullSnapshotTTL)
 	b.instancesRead(now)
 	b.configRead(now)
 	second, _, _ := b.snapshot(peer.Question{Node: "m"}, now)
@@ -40,7 +40,7 @@
 	next, _, _ := b.snapshot(peer.Question{Node: "m", Life: "a-1", Version: second.Version}, now)
 	later, _, _ := b.snapshot(peer.Question{Node: "o"}, now.Add(time.Millisecond))
 	got := []told{tell(second), tell(next), {ListedTo: later.ListedTo}}
-	want := []told{{[]directory.Record{record("e", 3)}, 9, wholeLife.Milliseconds()}, {[]directory.Record{record("f", 10)}, 11, 0}, {ListedTo: 11}}
+	want := []told{{[]directory.Record{record("e", 3)}, 9, fullSnapshotTTL.Milliseconds()}, {[]directory.Record{record("f", 10)}, 11, 0}, {ListedTo: 11}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("everything as of before, the change, everything anew (-want +got):\n%s", diff)
 	}
--- a/internal/placer/halls.go
+++ b/internal/placer/halls.go
@@ -12,21 +12,21 @@
 	"olivetiller/io/peer"
 )
 
-// halls is what this node believes of data halls that are being evacuated, and of cold endpoints. It belongs to
-// the owner of the controller.
-type halls struct {
+// hallState is what this node knows of data halls being evacuated and of cold endpoints. It belongs to the owner of
+// the controller.
+type hallState struct {
 	evacuated evacuation.Set
-	// returnedAt is when this node learned that a data hall's evacuation was taken back: its endpoints may have
-	// turned cold meanwhile.
-	returnedAt map[string]time.Time
-	// coldRates holds what each cold endpoint takes a second, as of the latest view.
+	// evacuationEndedAt is when this node learned that a data hall's evacuation had ended. Its endpoints count as
+	// cold from then on, since they got no requests meanwhile.
+	evacuationEndedAt map[string]time.Time
+	// coldRates holds the rate of each cold endpoint in the latest view, in requests per second.
 	coldRates map[string]float64
-	// warmAt is when the first endpoint of the latest view that is cold turns warm; zero for none.
-	warmAt time.Time
+	// firstWarmAt is when the first cold endpoint of the latest view becomes warm; zero if none is cold.
+	firstWarmAt time.Time
 }
 
-// evacuate takes in what a page of the operator's topic says of evacuations.
-func (c *Controller) evacuate(page logstore.Page[logstore.Config], whole bool) {
+// applyEvacuationRecords applies the evacuation records of a page of the configuration topic.
+func (c *Controller) applyEvacuationRecords(page logstore.Page[logstore.Config], whole bool) {
 	before := c.halls.evacuated.Halls()
 	if whole {
 		var on []string
@@ -35,9 +35,9 @@
 				on = append(on, ev.Hall)
 			}
 		}
-		if !c.settled(c.o.Clock.Now()) {
-			// A copy may lack an evacuation that was acknowledged: it takes none back until
-			// the operator has had the time to write again.
+		if !c.rewriteGraceOver(c.o.Clock.Now()) {
+			// A restored store may lack an evacuation that was acknowledged. None is ended until the operator has had
+			// the time to write it again.
 			on = append(on, before...)
 		}
 		c.halls.evacuated.Replace(on, page.Next)
@@ -49,24 +49,25 @@
 		}
 		c.halls.evacuated.ReadTo(page.Next)
 	}
-	c.noteEvacuated(before, "store")
+	c.applyEvacuations(before, "store")
 }
 
-// followEvacuations takes over what the lease holder sends of evacuations.
-func (c *Controller) followEvacuations(e *peer.Evacuations) {
+// applyHolderEvacuations applies the evacuations of a lease holder's snapshot; e is nil if they have not changed.
+func (c *Controller) applyHolderEvacuations(e *peer.Evacuations) {
 	if e == nil {
 		return
 	}
 	before := c.halls.evacuated.Halls()
 	c.halls.evacuated.Replace(e.Halls, e.AsOf)
-	c.noteEvacuated(before, "holder")
+	c.applyEvacuations(before, "holder")
 }
 
-// noteEvacuated puts the evacuations in force if they are others than before.
-func (c *Controller) noteEvacuated(before []string, by string) {
+// applyEvacuations publishes the evacuations and puts them in force if they differ from before. by names their
+// source, for the log.
+func (c *Controller) applyEvacuations(before []string, by string) {
 	after := c.halls.evacuated.Halls()
 	if c.held {
-		c.holder.showEvacuations(after, c.halls.evacuated.AsOf())
+		c.published.setEvacuations(after, c.halls.evacuated.AsOf())
 	}
 	if slices.Equal(before, after) {
 		return
@@ -74,17 +75,17 @@
 	now := c.o.Clock.Now()
 	for _, hall := range after {
 		if !slices.Contains(before, hall) {
-			delete(c.halls.returnedAt, hall)
+			delete(c.halls.evacuationEndedAt, hall)
 			c.o.Logger.Warn("data hall is being evacuated, its endpoints get no requests", "dataHall", hall, "endpoints", c.endpointsOf(hall, now), "asOf", position.Offset(c.halls.evacuated.AsOf()), "by", by)
 		}
 	}
 	for _, hall := range before {
 		if !slices.Contains(after, hall) {
-			if c.halls.returnedAt == nil {
-				c.halls.returnedAt = make(map[string]time.Time)
+			if c.halls.evacuationEndedAt == nil {
+				c.halls.evacuationEndedAt = make(map[string]time.Time)
 			}
-			c.halls.returnedAt[hall] = now
-			c.o.Logger.Warn("evacuation of a data hall taken back, its endpoints count as cold at first", "dataHall", hall, "endpoints", c.endpointsOf(hall, now), "asOf", position.Offset(c.halls.evacuated.AsOf()), "by", by)
+			c.halls.evacuationEndedAt[hall] = now
+			c.o.Logger.Warn("evacuation of a data hall ended, its endpoints count as cold at first", "dataHall", hall, "endpoints", c.endpointsOf(hall, now), "asOf", position.Offset(c.halls.evacuated.AsOf()), "by", by)
 		}
 	}
 	c.o.Dispatcher.Evacuate(after)
@@ -103,11 +104,11 @@
 	return n
 }
 
-// listChanged puts the list of endpoints in force at the planner, for which those of an evacuated data hall take
-// no work.
+// listChanged passes the list of endpoints to the planner, with the endpoints of evacuated data halls marked as
+// draining.
 func (c *Controller) listChanged(now time.Time) {
-	c.stale = true
-	if !c.plans() {
+	c.viewStale = true
+	if !c.maintainsPlanner() {
 		return
 	}
 	live := c.directory.Live(now)
@@ -121,14 +122,15 @@
 	c.planner.SetEngines(live, now)
 }
 
-// cool notes in a view's endpoint until when it is cold, and how many requests a second it takes meanwhile.
-func (c *Controller) cool(ep *view.Endpoint, e *directory.Entry, now time.Time) {
+// setCold sets until when an endpoint of a view is cold, and how many requests per second it accepts until then. An
+// endpoint is cold after its own start, and after the evacuation of its data hall has ended.
+func (c *Controller) setCold(ep *view.Endpoint, e *directory.Entry, now time.Time) {
 	s := c.table.Load().Service(e.Service)
 	if s == nil || s.ColdRate <= 0 {
 		return
 	}
 	until := e.ColdUntil
-	if back, ok := c.halls.returnedAt[e.Hall]; ok && back.Add(s.ColdStart).After(until) {
+	if back, ok := c.halls.evacuationEndedAt[e.Hall]; ok && back.Add(s.ColdStart).After(until) {
 		until = back.Add(s.ColdStart)
 	}
 	if !until.After(now) {
@@ -136,21 +138,23 @@
 	}
 	ep.ColdUntil, ep.ColdRate = until, s.ColdRate
 	c.halls.coldRates[e.ID] = s.ColdRate
-	if c.halls.warmAt.IsZero() || until.Before(c.halls.warmAt) {
-		c.halls.warmAt = until
+	if c.halls.firstWarmAt.IsZero() || until.Before(c.halls.firstWarmAt) {
+		c.halls.firstWarmAt = until
 	}
 }
 
-// evacuations returns the data halls that are being evacuated, for other nodes.
-func (h *halls) evacuations() *peer.Evacuations {
+// evacuations returns the data halls that are being evacuated, in the form sent to other nodes.
+func (h *hallState) evacuations() *peer.Evacuations {
 	return &peer.Evacuations{Halls: h.evacuated.Halls(), AsOf: h.evacuated.AsOf()}
 }
 
-// warmed reports whether an endpoint of the latest view has turned warm.
-func (h *halls) warmed(now time.Time) bool { return !h.warmAt.IsZero() && !now.Before(h.warmAt) }
+// becameWarm reports whether an endpoint that is cold in the latest view has become warm.
+func (h *hallState) becameWarm(now time.Time) bool {
+	return !h.firstWarmAt.IsZero() && !now.Before(h.firstWarmAt)
+}
 
-// showEvacuations shows the data halls that are being evacuated, as of a position of the operator's topic.
-func (b *board) showEvacuations(halls []string, asOf uint64) {
+// setEvacuations publishes the data halls that are being evacuated, as of a position of the configuration topic.
+func (b *publication) setEvacuations(halls []string, asOf uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.feed.evacuations != nil && slices.Equal(b.feed.evacuations.Halls, halls) {
--- a/internal/placer/halls_test.go
+++ b/internal/placer/halls_test.go
@@ -20,8 +20,8 @@
 	coldRate  = 8.0
 )
 
-// hallNode returns a controller that knows one plain endpoint in each of two data halls.
-func hallNode(t *testing.T, clock clockwork.Clock) *Controller {
+// newHallController returns a controller that knows one endpoint of a service without engines in each of two data halls.
+func newHallController(t *testing.T, clock clockwork.Clock) *Controller {
 	t.Helper()
 	c := newController(clock)
 	table, err := route.New(&route.Config{Version: 1, Services: []route.Service{{Name: "s", ColdStart: coldStart, ColdRate: coldRate}}})
@@ -35,7 +35,7 @@
 	return c
 }
 
-// served returns the endpoints of the service's pool, those that are cold marked.
+// served returns the endpoints of the service's pool; the value is whether the endpoint is cold.
 func served(c *Controller, now time.Time) map[string]bool {
 	c.touchAll()
 	c.publish(now)
@@ -55,8 +55,9 @@
 	return page
 }
 
-// TestEvacuatedHallGetsNothing guards against requests to the endpoints of a data hall whose evacuation is in force,
-// whoever tells of it, and against a flood to endpoints that turned cold meanwhile.
+// TestEvacuatedHallGetsNothing guards against requests to the endpoints of an evacuated data hall, whether the node
+// learned of the evacuation from the store or from the lease holder, and against too many requests to endpoints that
+// became cold during the evacuation.
 func TestEvacuatedHallGetsNothing(t *testing.T) {
 	on, off := logstore.Evacuation{Hall: "a", On: true}, logstore.Evacuation{Hall: "a"}
 	whole, single := true, false
@@ -84,20 +85,20 @@
 		{"taken back by a list", []step{{page: operatorPage(0, 5, on), whole: single}, {page: operatorPage(0, 6), whole: whole}}, map[string]bool{"e-1": true, "e-2": false}},
 		{"taken back, warm again", []step{{page: operatorPage(0, 5, on), whole: single}, {page: operatorPage(0, 6, off), whole: single}, {after: coldStart, page: operatorPage(0, 6)}}, both},
 		{"not in a copy of the store", []step{{page: operatorPage(0, 5, on), whole: single}, {page: operatorPage(1, 3), whole: whole}}, one},
-		{"not written again after the store came back", []step{{page: operatorPage(0, 5, on), whole: single}, {page: operatorPage(1, 3), whole: whole}, {after: rewriteTime, page: operatorPage(1, 3), whole: whole}}, map[string]bool{"e-1": true, "e-2": false}},
+		{"not written again after the store came back", []step{{page: operatorPage(0, 5, on), whole: single}, {page: operatorPage(1, 3), whole: whole}, {after: rewriteGrace, page: operatorPage(1, 3), whole: whole}}, map[string]bool{"e-1": true, "e-2": false}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			c := hallNode(t, clock)
+			c := newHallController(t, clock)
 			c.enterEra(0, clock.Now())
 			for _, s := range tt.steps {
 				clock.Advance(s.after)
 				if s.fed != nil {
-					c.followEvacuations(s.fed)
+					c.applyHolderEvacuations(s.fed)
 					continue
 				}
-				configs{s.page, s.whole, clock.Now()}.handle(c)
+				configPage{s.page, s.whole, clock.Now()}.handle(c)
 			}
 			if diff := cmp.Diff(tt.want, served(c, clock.Now())); diff != "" {
 				t.Errorf("endpoints in use, true for cold ones (-want +got):\n%s", diff)
@@ -106,27 +107,27 @@
 	}
 }
 
-// TestEvacuationReachesAllNodes checks that a node learns of evacuations with everything the holder shows, and of
-// changes at once.
+// TestEvacuationReachesAllNodes checks that a node receives the evacuations with a full snapshot, and changes of them
+// as urgent news.
 func TestEvacuationReachesAllNodes(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	h, n := hallNode(t, clock), hallNode(t, clock)
+	h, n := newHallController(t, clock), newHallController(t, clock)
 	h.held = true
-	h.holder.begin("h-1", 1, 2, nil, 0)
+	h.published.begin("h-1", 1, 2, nil, 0)
 	ask := func(q peer.Question) (urgent bool) {
-		s, urgent, _ := h.holder.snapshot(q, clock.Now())
-		n.followEvacuations(s.Evacuations)
+		s, urgent, _ := h.published.snapshot(q, clock.Now())
+		n.applyHolderEvacuations(s.Evacuations)
 		return urgent
 	}
-	configs{operatorPage(0, 5, logstore.Evacuation{Hall: "a", On: true}), false, clock.Now()}.handle(h)
+	configPage{operatorPage(0, 5, logstore.Evacuation{Hall: "a", On: true}), false, clock.Now()}.handle(h)
 	ask(peer.Question{Node: "n"})
 	var got [][]string
 	got = append(got, n.halls.evacuated.Halls())
-	q := peer.Question{Node: "n", Life: "h-1", Version: h.holder.version}
+	q := peer.Question{Node: "n", Life: "h-1", Version: h.published.version}
 	if ask(q) {
 		t.Error("no change is urgent")
 	}
-	configs{operatorPage(0, 6, logstore.Evacuation{Hall: "b", On: true}), false, clock.Now()}.handle(h)
+	configPage{operatorPage(0, 6, logstore.Evacuation{Hall: "b", On: true}), false, clock.Now()}.handle(h)
 	if !ask(q) {
 		t.Error("an evacuation is not urgent")
 	}
@@ -136,11 +137,11 @@
 	}
 }
 
-// TestColdEndpointByItsEntry checks what a cold endpoint's entry comes to, at nodes that read it and at those to which
-// it is relayed.
+// TestColdEndpointByItsEntry checks when an endpoint counts as cold by its entry, at a node that reads the entry and
+// at one to which it is relayed.
 func TestColdEndpointByItsEntry(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	h, n := hallNode(t, clock), hallNode(t, clock)
+	h, n := newHallController(t, clock), newHallController(t, clock)
 	entry := func(version uint64, cold time.Duration) {
 		in := &directory.Instance{ID: "e-1", Service: "s", Address: "e-1", Hall: "a", Cold: cold}
 		if h.directory.Apply(directory.Record{ID: "e-1", Version: version, Instance: in}, clock.Now()) == directory.Unchanged {
@@ -159,7 +160,7 @@
 	clock.Advance(coldStart - time.Millisecond)
 	got = append(got, look())
 	clock.Advance(time.Millisecond)
-	if !h.halls.warmed(clock.Now()) {
+	if !h.halls.becameWarm(clock.Now()) {
 		t.Error("no new view is due when the endpoint is warm")
 	}
 	got = append(got, look())
@@ -172,11 +173,11 @@
 	}
 }
 
-// TestLapsedEndpointLeavesView guards against an endpoint that stays in use for good since its entry was to be believed
-// gone only after the store had come back.
-func TestLapsedEndpointLeavesView(t *testing.T) {
+// TestExpiredEndpointLeavesView guards against an endpoint that stays in use forever because its removal was read
+// while the store was considered unavailable and took effect only later, without any further message.
+func TestExpiredEndpointLeavesView(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	c := hallNode(t, clock)
+	c := newHallController(t, clock)
 	c.publish(clock.Now())
 	c.directory.StoreAway(clock.Now())
 	c.directory.Apply(directory.Record{ID: "e-1", Version: 2}, clock.Now())
@@ -186,7 +187,7 @@
 	for range 40 {
 		got = append(got, len(c.View().Pool(view.ServicePool("s"))))
 		clock.Advance(tickEvery)
-		if c.tick(); c.stale {
+		if c.tick(); c.viewStale {
 			c.publish(clock.Now())
 		}
 	}
--- /dev/null
+++ b/internal/placer/handover.go
@@ -0,0 +1,82 @@
+package placer
+
+import (
+	"context"
+	"time"
+
+	"olivetiller/core/lease"
+)
+
+// Limits and delays of handing the lease over to a stronger node.
+const (
+	// handoverRatio is by how much the successor must be stronger than this node, in cores times link speed. Between
+	// machines of similar strength a handover costs more than it gains.
+	handoverRatio = 4
+	// handoverAfter is how long this node must have held the lease. A new holder asks all engines for reports and
+	// loads nothing from the weight store during its first window, so that frequent handovers would hurt; after this
+	// time the reporting nodes are known.
+	handoverAfter = 3 * time.Second
+	// handoverDelay is how much longer than other nodes this node waits before it takes the lease again. The
+	// successor learns of the release by its next read of the topic, within 0.5 s while there is a holder.
+	handoverDelay = 1500 * time.Millisecond
+)
+
+// handOver releases the lease to the successor if that node is much stronger. Otherwise a weak machine that took the
+// lease after a failure of all strong ones would keep it when they are back, and is too slow to relay a long
+// configuration to all nodes.
+func (c *Controller) handOver(ctx context.Context, now time.Time) {
+	if !c.mayHandOver(now) {
+		return
+	}
+	to := c.successor(now)
+	rec, ok := c.lease.Releasing()
+	if !ok {
+		return
+	}
+	c.o.Logger.Info("lease handed over to a stronger node", "to", to, "strength", c.o.Strength, "itsStrength", c.nodes[to].strength)
+	c.handingOver = true
+	go c.release(ctx, c.lease.End(), rec)
+}
+
+// mayHandOver reports whether the lease should be handed over now.
+func (c *Controller) mayHandOver(now time.Time) bool {
+	_, held := c.lease.Held(now)
+	switch {
+	case !held || !c.held || c.paused || c.handingOver || c.stopping.Load():
+		return false
+	case now.Sub(c.heldSince) < handoverAfter || c.lease.Appending() || c.outage.Doubts(c.lease, now):
+		return false
+	}
+	f, known := c.nodes[c.successor(now)]
+	// A strength of 0 is unknown.
+	return known && !f.storeUnavailable && c.o.Strength > 0 && f.strength >= handoverRatio*c.o.Strength
+}
+
+// release appends the record that releases the lease, and sends the result to the owner.
+func (c *Controller) release(ctx context.Context, at uint64, rec lease.Record) {
+	offset, err := c.appendLease(ctx, at, rec)
+	c.inbox.Send(ctx, handoverDone{rec: rec, offset: offset, err: err})
+}
+
+// handoverDone is the result of appending the record that releases the lease.
+type handoverDone struct {
+	rec    lease.Record
+	offset uint64
+	err    error
+}
+
+func (m handoverDone) handle(c *Controller) {
+	c.handingOver = false
+	now := c.o.Clock.Now()
+	if m.err != nil {
+		// The append may still take effect; a renewal or a read of the topic will show.
+		c.o.Logger.Info("lease handover failed", "error", m.err.Error())
+		c.lease.Failed(now)
+		c.leaseUncertain.Store(true)
+		return
+	}
+	c.lease.Fold(m.offset, m.rec, now)
+	// Otherwise this node, the first to know that the lease is free, would take it again.
+	c.lease.Succession(false, c.o.TakeoverDelay+handoverDelay)
+	c.leaseUncertain.Store(true)
+}
--- a/internal/placer/index.go
+++ b/internal/placer/index.go
@@ -8,17 +8,17 @@
 	"olivetiller/core/view"
 )
 
-// index holds the endpoints of each pool, and is changed one endpoint at a time: what a change costs does not grow with
-// the number of endpoints. What it has handed out is not changed any more.
+// index holds the endpoints of each pool. It is updated one endpoint at a time, so that the cost of a change does not
+// grow with the number of endpoints. Maps and lists that it has returned are never modified (copy on write).
 type index struct {
-	// of holds the endpoints with their pools.
-	of map[string]indexed
-	// by holds the endpoints of each pool, ordered by name.
-	by map[string][]*view.Endpoint
-	// shared is true while a view uses by.
+	// byEndpoint holds the endpoints with their pools, by name.
+	byEndpoint map[string]indexed
+	// byPool holds the endpoints of each pool, ordered by name.
+	byPool map[string][]*view.Endpoint
+	// shared is true while a view uses byPool.
 	shared bool
-	// news are the pools that changed since they were last asked for.
-	news map[string]bool
+	// changedPools are the pools that changed since the last call of changed.
+	changedPools map[string]bool
 }
 
 type indexed struct {
@@ -27,12 +27,12 @@
 }
 
 func newIndex() *index {
-	return &index{of: make(map[string]indexed), by: make(map[string][]*view.Endpoint), news: make(map[string]bool)}
+	return &index{byEndpoint: make(map[string]indexed), byPool: make(map[string][]*view.Endpoint), changedPools: make(map[string]bool)}
 }
 
-// set puts an endpoint into pools, and takes it out of all others.
+// set adds an endpoint to the given pools and removes it from all others.
 func (x *index) set(ep view.Endpoint, pools []string) {
-	old, known := x.of[ep.Name]
+	old, known := x.byEndpoint[ep.Name]
 	same := known && *old.endpoint == ep
 	if same && slices.Equal(old.pools, pools) {
 		return
@@ -52,27 +52,27 @@
 		}
 	}
 	if len(pools) == 0 {
-		delete(x.of, ep.Name)
+		delete(x.byEndpoint, ep.Name)
 		return
 	}
-	x.of[ep.Name] = indexed{next, pools}
+	x.byEndpoint[ep.Name] = indexed{next, pools}
 }
 
-// change puts an endpoint into a pool, or takes it out.
+// change adds an endpoint to a pool, or removes it if ep is nil.
 func (x *index) change(pool, name string, ep *view.Endpoint) {
 	if x.shared {
-		x.by, x.shared = maps.Clone(x.by), false
+		x.byPool, x.shared = maps.Clone(x.byPool), false
 	}
-	x.news[pool] = true
-	old := x.by[pool]
+	x.changedPools[pool] = true
+	old := x.byPool[pool]
 	at, found := slices.BinarySearchFunc(old, name, func(e *view.Endpoint, name string) int { return strings.Compare(e.Name, name) })
 	if ep != nil && at == len(old) {
-		// What readers have of the old list does not reach beyond its length.
+		// Readers of the old list do not read beyond its length, so that appending in place is safe.
 		if len(old) == cap(old) {
-			// An eighth, not twice: each node keeps thousands of these lists.
+			// Grow by an eighth instead of doubling: each node holds thousands of these lists.
 			old = append(make([]*view.Endpoint, 0, len(old)+len(old)/8+1), old...)
 		}
-		x.by[pool] = append(old, ep)
+		x.byPool[pool] = append(old, ep)
 		return
 	}
 	next := make([]*view.Endpoint, 0, len(old)+1)
@@ -85,33 +85,33 @@
 	}
 	next = append(next, old[at:]...)
 	if len(next) == 0 {
-		delete(x.by, pool)
+		delete(x.byPool, pool)
 		return
 	}
-	x.by[pool] = next
+	x.byPool[pool] = next
 }
 
-// pools returns the endpoints of each pool; the result does not change.
+// pools returns the endpoints of each pool. The result is not modified later.
 func (x *index) pools() map[string][]*view.Endpoint {
 	x.shared = true
-	return x.by
+	return x.byPool
 }
 
-// changed returns the pools that changed since they were last asked for; never nil.
+// changed returns the pools that changed since the last call; never nil.
 func (x *index) changed() []string {
-	out := make([]string, 0, len(x.news))
-	for pool := range x.news {
+	out := make([]string, 0, len(x.changedPools))
+	for pool := range x.changedPools {
 		out = append(out, pool)
 	}
-	clear(x.news)
+	clear(x.changedPools)
 	return out
 }
 
-// has reports whether an endpoint serves a pool.
+// has reports whether an endpoint is in any pool.
 func (x *index) has(endpoint string) bool {
-	_, ok := x.of[endpoint]
+	_, ok := x.byEndpoint[endpoint]
 	return ok
 }
 
-// endpoints returns how many endpoints serve a pool.
-func (x *index) endpoints() int { return len(x.of) }
+// endpoints returns how many endpoints are in at least one pool.
+func (x *index) endpoints() int { return len(x.byEndpoint) }
--- a/internal/placer/index_test.go
+++ b/internal/placer/index_test.go
@@ -12,9 +12,9 @@
 	"olivetiller/core/view"
 )
 
-// TestIndexIsThatOfAllEndpoints checks over random changes that the lists of pools are those that all endpoints come to
-// when worked out anew, and that what was handed out before does not change.
-func TestIndexIsThatOfAllEndpoints(t *testing.T) {
+// TestIndexMatchesRebuild checks over random changes that the lists of the pools equal those built from all
+// endpoints, and that lists handed out before are not modified.
+func TestIndexMatchesRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newIndex()
 		all := make(map[string]indexed)
--- a/internal/placer/isolation.go
+++ b/internal/placer/isolation.go
@@ -13,45 +13,48 @@
 	"olivetiller/io/peer"
 )
 
-// Times of what nodes tell each other of requests under which engines end.
+// Times and limits of sharing what nodes know of suspected requests, that is, requests under which engines have
+// ended.
 const (
-	// suspectsFresh is how old the others' word may be: such a request is not sent again by a node that
-	// has heard nobody for longer.
-	suspectsFresh = 2 * time.Second
-	// exchangeAfter is how long a node hears nothing of the holder before it tells other nodes
-	// itself, and exchangeEvery the time between two rounds.
+	// suspectsTTL is how long the state received from others is used: a node that has received none for longer does
+	// not send a suspected request again.
+	suspectsTTL = 2 * time.Second
+	// exchangeAfter is how long a node receives nothing from the lease holder before it exchanges state with other
+	// nodes directly, and exchangeEvery is the interval between two rounds.
 	exchangeAfter = time.Second
 	exchangeEvery = 300 * time.Millisecond
-	// exchangePeers is how many others are told in a round.
+	// exchangePeers is how many other nodes are called per round.
 	exchangePeers = 2
-	// keepAgain is the pause after a verdict could not be written to the store.
-	keepAgain = time.Second
-	// verdictsWait is how long a node that knows all else waits for the verdicts that the store
-	// keeps: longer than a read takes, and not for ever.
-	verdictsWait = 3 * time.Second
+	// verdictRetryPause is the pause after a verdict could not be written to the store.
+	verdictRetryPause = time.Second
+	// verdictsTimeout is how long a node that is otherwise ready waits for the verdicts in the store before it serves
+	// without them; a read takes less.
+	verdictsTimeout = 3 * time.Second
 )
 
-// suspects is what the control side does with the node's knowledge of requests under which engines
-// end. The fields without atomics belong to the owner.
+// suspects connects the node's isolation guard, which tracks suspected requests, with the other nodes and the store.
+// The fields that are not atomic belong to the owner.
 type suspects struct {
 	guard *isolation.Guard
-	// known is set once the verdicts that the store keeps were read, here or by the holder.
+	// known is set once the stored verdicts were read, by this node or by the lease holder.
 	known atomic.Bool
-	// read is set while what this node itself read of them is all there is.
-	read atomic.Bool
-	// wordAt is when another node's word, or the store's, last came; holderAt the holder's.
-	wordAt, holderAt atomic.Pointer[time.Time]
-	// kept is what the store keeps, and keptTo the version up to which it was brought up to date.
-	kept    map[quarantine.Fingerprint]keptVerdict
-	keptTo  uint64
-	keepAt  time.Time
-	keeping bool
-	// listedAt is when all else was known that a node needs; zero before.
-	listedAt time.Time
+	// storeRead is set while this node's own reads have covered all stored verdicts.
+	storeRead atomic.Bool
+	// peerDataAt is when state of another node or of the store last arrived, and holderAt is when the lease holder's
+	// did.
+	peerDataAt, holderAt atomic.Pointer[time.Time]
+	// stored mirrors the verdicts in the store, and storedTo is the guard's version up to which the store is up to
+	// date. retryAt is when a failed write may be retried, and storing is true while one is under way.
+	stored   map[quarantine.Fingerprint]storedVerdict
+	storedTo uint64
+	retryAt  time.Time
+	storing  bool
+	// inputsReadyAt is when the node knew everything else that it needs to serve; zero before.
+	inputsReadyAt time.Time
 }
 
-// keptVerdict is one verdict as the store keeps it.
-type keptVerdict struct {
+// storedVerdict is one verdict as the store holds it.
+type storedVerdict struct {
 	epoch    uint32
 	trials   int
 	released bool
@@ -62,62 +65,64 @@
 	if s.guard == nil {
 		s.guard = isolation.New(isolation.Options{Clock: o.Clock, Logger: o.Logger, Refuses: func(context.Context, string) bool { return false }})
 	}
-	s.kept = make(map[quarantine.Fingerprint]keptVerdict)
+	s.stored = make(map[quarantine.Fingerprint]storedVerdict)
 }
 
-// SuspectsChanged has the others told of what changed; it may be called from any goroutine.
+// SuspectsChanged sends a change of the suspected requests to the other nodes. It may be called from any goroutine.
 func (c *Controller) SuspectsChanged() {
 	c.WakeDemand()
-	c.showSuspects()
+	c.publishSuspects()
 }
 
-// showSuspects wakes the nodes that wait for news of the holder, if there is some.
-func (c *Controller) showSuspects() {
-	c.holder.setSuspects(c.suspects.guard.ToldVersion())
-	c.relay.wakeFed()
+// publishSuspects wakes the followers that wait for a snapshot if the suspected requests have changed.
+func (c *Controller) publishSuspects() {
+	c.published.setSuspects(c.suspects.guard.ToldVersion())
+	c.relay.wakeFollowers()
 }
 
-// SuspectsFresh reports whether the others' word on requests is not too old.
+// SuspectsFresh reports whether this node knows the other nodes' state of suspected requests as of the last
+// suspectsTTL. The lease holder always does, since all nodes report to it.
 func (c *Controller) SuspectsFresh() bool {
 	if c.leading.Load() {
 		return true
 	}
-	at := c.suspects.wordAt.Load()
-	return at != nil && c.o.Clock.Now().Sub(*at) <= suspectsFresh
+	at := c.suspects.peerDataAt.Load()
+	return at != nil && c.o.Clock.Now().Sub(*at) <= suspectsTTL
 }
 
-// heardWord notes that another node's word, or the store's, has come.
-func (c *Controller) heardWord(now time.Time) { c.suspects.wordAt.Store(&now) }
+// notePeerData records that state of another node or of the store has arrived.
+func (c *Controller) notePeerData(now time.Time) { c.suspects.peerDataAt.Store(&now) }
 
-// watchSuspects does what is due by time alone.
-func (c *Controller) watchSuspects(now time.Time) {
+// checkSuspects evaluates the suspected requests, and gives up waiting for the stored verdicts after verdictsTimeout.
+func (c *Controller) checkSuspects(now time.Time) {
 	s := &c.suspects
-	c.judgeSuspects()
-	if s.listedAt.IsZero() && c.listed && c.table.Load() != nil {
-		s.listedAt = now
+	c.evaluateSuspects()
+	if s.inputsReadyAt.IsZero() && c.listed && c.table.Load() != nil {
+		s.inputsReadyAt = now
 	}
-	if !s.known.Load() && !s.listedAt.IsZero() && now.Sub(s.listedAt) > verdictsWait {
-		c.o.Logger.Warn("the store does not tell the requests that are kept from engines; serving without")
-		c.knowVerdicts()
+	if !s.known.Load() && !s.inputsReadyAt.IsZero() && now.Sub(s.inputsReadyAt) > verdictsTimeout {
+		c.o.Logger.Warn("stored verdicts on quarantined requests not available, serving without them")
+		c.markVerdictsKnown()
 	}
 }
 
-// judgeSuspects judges what is due. By belief the holder judges, to which all blames come, and a node that
-// hears of no holder: elsewhere whoever is known of an end seems to be one of few.
-func (c *Controller) judgeSuspects() {
-	c.suspects.guard.SetWhole(c.held || !c.remote.fresh)
+// evaluateSuspects has the guard evaluate the requests that are due. Only the lease holder, which receives the
+// suspicions of all nodes, and a node without a lease holder may convict a request by its probability: a node that
+// knows of only some of the suspects of an engine's end would overrate each of them.
+func (c *Controller) evaluateSuspects() {
+	c.suspects.guard.SetWhole(c.held || !c.holderState.fresh)
 	c.suspects.guard.Judge()
 }
 
-// knowVerdicts notes that the verdicts which the store keeps are known.
-func (c *Controller) knowVerdicts() {
+// markVerdictsKnown records that the stored verdicts are known, which the node needs to become ready.
+func (c *Controller) markVerdictsKnown() {
 	if !c.suspects.known.Swap(true) {
-		c.stale = true
+		c.viewStale = true
 	}
 }
 
-// noteEntry tells the guard of an endpoint's entry.
-func (c *Controller) noteEntry(r directory.Record) {
+// updateGuard informs the guard of a change of an endpoint's entry.
+func (c *Controller) updateGuard(r directory.Record) {
 	if r.Instance == nil {
 		c.suspects.guard.Gone(r.ID)
 		return
@@ -125,14 +130,15 @@
 	c.suspects.guard.Seen(quarantine.Life{Engine: r.ID, Start: int64(r.Instance.Start)}, r.Instance.Draining)
 }
 
-// reportSuspects adds what the holder is to be told, and returns the version to which it leads.
+// reportSuspects adds the entries that the lease holder lacks to a report, and returns the version that they reach.
+// life is the lease holder's incarnation.
 func (c *Controller) reportSuspects(r *peer.Report, life string, now time.Time) uint64 {
-	entries, to := c.suspects.guard.Since(c.reported.of(life).suspects, quarantine.Own)
+	entries, to := c.suspects.guard.Since(c.reportAcked.of(life).suspects, quarantine.Own)
 	r.Suspects = peer.Suspects(entries, now)
 	return to
 }
 
-// addSuspects adds what concerns all nodes and is new to the asker, and reports whether there is
+// addSuspects adds the entries that concern all nodes and are new to the requester, and reports whether there are
 // any.
 func (c *Controller) addSuspects(snap *peer.Snapshot, q peer.Question, now time.Time) bool {
 	after := q.SuspectsTo
@@ -144,17 +150,18 @@
 	return len(entries) > 0
 }
 
-// hearSuspects takes in what the holder tells.
-func (c *Controller) hearSuspects(snap *peer.Snapshot, now time.Time) {
+// mergeHolderSuspects merges the entries of a snapshot of the lease holder.
+func (c *Controller) mergeHolderSuspects(snap *peer.Snapshot, now time.Time) {
 	c.suspects.guard.Merge(peer.Entries(snap.Suspects, now), "holder")
-	c.heardWord(now)
+	c.notePeerData(now)
 	c.suspects.holderAt.Store(&now)
 	if snap.VerdictsKnown {
-		c.knowVerdicts()
+		c.markVerdictsKnown()
 	}
 }
 
-// Exchange implements peer.Exchanger.
+// Exchange implements [peer.Exchanger]: it merges another node's state and returns the entries that the other node
+// lacks.
 func (c *Controller) Exchange(e *peer.Exchange) *peer.Exchange {
 	now := c.o.Clock.Now()
 	if c.suspects.guard.Merge(peer.Entries(e.Suspects, now), e.Node) {
@@ -169,16 +176,16 @@
 	return &peer.Exchange{Node: c.o.Self.Holder, Life: c.o.Self.Life, Version: to, Suspects: peer.Suspects(entries, now), Signals: c.allSignals(now)}
 }
 
-// exchanged is how far two nodes have told each other.
-type exchanged struct {
-	life         string
-	mine, theirs uint64
+// exchangeMark holds the incarnation of another node and the versions that both have received from each other.
+type exchangeMark struct {
+	life           string
+	sent, received uint64
 }
 
-// exchangeSuspects tells other nodes what this one knows, and hears what they do, while no holder
-// unites it.
+// exchangeSuspects exchanges suspected requests and endpoints' signals with other nodes while no lease holder
+// collects them, until ctx ends.
 func (c *Controller) exchangeSuspects(ctx context.Context) {
-	marks := make(map[string]exchanged)
+	marks := make(map[string]exchangeMark)
 	for ctx.Err() == nil {
 		c.pause(ctx, exchangeEvery)
 		at := c.suspects.holderAt.Load()
@@ -193,11 +200,11 @@
 	}
 }
 
-func (c *Controller) exchangeWith(ctx context.Context, address string, m exchanged) exchanged {
-	entries, to := c.suspects.guard.Since(m.mine, quarantine.All)
+func (c *Controller) exchangeWith(ctx context.Context, address string, m exchangeMark) exchangeMark {
+	entries, to := c.suspects.guard.Since(m.sent, quarantine.All)
 	begun := c.o.Clock.Now()
 	mine := &peer.Exchange{
-		Node: c.o.Self.Holder, Life: c.o.Self.Life, Since: m.theirs, Of: m.life, Version: to,
+		Node: c.o.Self.Holder, Life: c.o.Self.Life, Since: m.received, Of: m.life, Version: to,
 		Suspects: peer.Suspects(entries, begun), Signals: c.allSignals(begun),
 	}
 	theirs, err := c.o.Peers.Exchange(ctx, address, mine)
@@ -206,22 +213,22 @@
 		return m
 	}
 	now := c.o.Clock.Now()
-	c.heardWord(now)
+	c.notePeerData(now)
 	c.suspects.guard.Merge(peer.Entries(theirs.Suspects, now), theirs.Node)
 	c.mergeSignals(theirs.Signals, theirs.Node, now)
-	if theirs.Life != m.life && m.mine > 0 {
-		// It began anew, and knows nothing of what the one before was told.
-		return exchanged{life: theirs.Life, theirs: theirs.Version}
+	if theirs.Life != m.life && m.sent > 0 {
+		// The other node has restarted and lacks what was sent to its previous incarnation; send everything again.
+		return exchangeMark{life: theirs.Life, received: theirs.Version}
 	}
-	return exchanged{life: theirs.Life, mine: to, theirs: theirs.Version}
+	return exchangeMark{life: theirs.Life, sent: to, received: theirs.Version}
 }
 
-// verdicts are what the store keeps.
-type verdicts struct {
+// verdictPage is a page of the stored verdicts.
+type verdictPage struct {
 	page logstore.Page[logstore.Verdict]
 }
 
-func (m verdicts) handle(c *Controller) {
+func (m verdictPage) handle(c *Controller) {
 	now := c.o.Clock.Now()
 	entries := make([]quarantine.Entry, 0, len(m.page.Records))
 	for _, r := range m.page.Records {
@@ -231,48 +238,47 @@
 			e.Verdict = &quarantine.Verdict{At: e.At, Trials: v.Trials}
 		}
 		entries = append(entries, e)
-		c.suspects.kept[v.Request] = keptVerdict{epoch: v.Epoch, trials: v.Trials, released: v.Released}
+		c.suspects.stored[v.Request] = storedVerdict{epoch: v.Epoch, trials: v.Trials, released: v.Released}
 	}
 	c.suspects.guard.Merge(entries, "store")
-	c.heardWord(now)
-	c.suspects.read.Store(true)
-	c.knowVerdicts()
-	c.showSuspects()
+	c.notePeerData(now)
+	c.suspects.storeRead.Store(true)
+	c.markVerdictsKnown()
+	c.publishSuspects()
 }
 
-// keepVerdicts has the holder bring the store up to date.
-func (c *Controller) keepVerdicts(ctx context.Context, now time.Time) {
+// storeVerdicts writes the verdicts that the store lacks, at the lease holder.
+func (c *Controller) storeVerdicts(ctx context.Context, now time.Time) {
 	s := &c.suspects
 	told := s.guard.ToldVersion()
-	if !c.held || s.keeping || told <= s.keptTo || now.Before(s.keepAt) || !s.known.Load() {
+	if !c.held || s.storing || told <= s.storedTo || now.Before(s.retryAt) || !s.known.Load() {
 		return
 	}
-	entries, to := s.guard.Since(s.keptTo, quarantine.Concerning)
+	entries, to := s.guard.Since(s.storedTo, quarantine.Concerning)
 	var due []logstore.Verdict
 	for i := range entries {
-		if v, ok := s.toKeep(&entries[i], now); ok {
+		if v, ok := s.pendingVerdict(&entries[i], now); ok {
 			due = append(due, v)
 		}
 	}
 	if len(due) == 0 {
-		s.keptTo = to
+		s.storedTo = to
 		return
 	}
-	s.keeping = true
+	s.storing = true
 	era := c.eras.known
 	go func() {
 		var err error
 		for _, v := range due {
-			err = errors.Join(err, c.keep(ctx, v))
+			err = errors.Join(err, c.storeVerdict(ctx, v))
 		}
-		c.inbox.Send(ctx, verdictsKept{due, to, era, err})
+		c.inbox.Send(ctx, verdictsStored{due, to, era, err})
 	}()
 }
 
-// toKeep returns what the store is to keep of a request; ok is false where it does already, or
-// need not.
-func (s *suspects) toKeep(e *quarantine.Entry, now time.Time) (v logstore.Verdict, ok bool) {
-	old, known := s.kept[e.Request]
+// pendingVerdict returns the verdict to write for a request; ok is false if the store has it already or needs none.
+func (s *suspects) pendingVerdict(e *quarantine.Entry, now time.Time) (v logstore.Verdict, ok bool) {
+	old, known := s.stored[e.Request]
 	switch {
 	case e.Verdict != nil:
 		v = logstore.Verdict{Request: e.Request, Epoch: e.Epoch, Trials: e.Verdict.Trials, Age: now.Sub(e.Verdict.At)}
@@ -281,50 +287,50 @@
 	default:
 		return v, false
 	}
-	return v, !known || old != keptVerdict{epoch: v.Epoch, trials: v.Trials, released: v.Released}
+	return v, !known || old != storedVerdict{epoch: v.Epoch, trials: v.Trials, released: v.Released}
 }
 
-func (c *Controller) keep(ctx context.Context, v logstore.Verdict) error {
+func (c *Controller) storeVerdict(ctx context.Context, v logstore.Verdict) error {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	return c.o.Store.KeepVerdict(ctx, v)
 }
 
-// verdictsKept tells what became of verdicts that were to be kept.
-type verdictsKept struct {
+// verdictsStored reports the result of writing verdicts.
+type verdictsStored struct {
 	verdicts []logstore.Verdict
 	to       uint64
-	// era is the store's when they were sent.
+	// era is the store's era when they were sent.
 	era uint64
 	err error
 }
 
-func (m verdictsKept) handle(c *Controller) {
+func (m verdictsStored) handle(c *Controller) {
 	s := &c.suspects
-	s.keeping = false
+	s.storing = false
 	if m.err != nil {
-		c.o.Logger.Warn("verdicts not kept by the store, to be tried again", "count", len(m.verdicts), "error", m.err.Error())
-		s.keepAt = c.o.Clock.Now().Add(keepAgain)
+		c.o.Logger.Warn("verdicts not written to the store, will retry", "count", len(m.verdicts), "error", m.err.Error())
+		s.retryAt = c.o.Clock.Now().Add(verdictRetryPause)
 		return
 	}
 	if m.era != c.eras.known {
-		// They may be gone with what the store lost.
+		// The store was restored meanwhile, and the verdicts may be lost.
 		return
 	}
-	s.keptTo = m.to
+	s.storedTo = m.to
 	for _, v := range m.verdicts {
-		s.kept[v.Request] = keptVerdict{epoch: v.Epoch, trials: v.Trials, released: v.Released}
+		s.stored[v.Request] = storedVerdict{epoch: v.Epoch, trials: v.Trials, released: v.Released}
 	}
 }
 
-// errNotHolder is why a trial is not begun by a node that does not hold the lease: two nodes would try
-// the same request.
-var errNotHolder = errors.New("only the holder of the lease tries quarantined requests")
+// errNotHolder is returned for a trial at a node that does not hold the lease: two nodes might try the same request.
+var errNotHolder = errors.New("only the lease holder runs trials of quarantined requests")
 
-// ClaimTrial has the store keep that a trial begins.
+// ClaimTrial records in the store that a trial of a quarantined request begins. It fails if this node does not hold
+// the lease or if e has no verdict.
 func (c *Controller) ClaimTrial(ctx context.Context, e quarantine.Entry) error {
 	if !c.leading.Load() || e.Verdict == nil {
 		return errNotHolder
 	}
-	return c.keep(ctx, logstore.Verdict{Request: e.Request, Epoch: e.Epoch, Trials: e.Verdict.Trials})
+	return c.storeVerdict(ctx, logstore.Verdict{Request: e.Request, Epoch: e.Epoch, Trials: e.Verdict.Trials})
 }
--- a/internal/placer/isolation_test.go
+++ b/internal/placer/isolation_test.go
@@ -19,7 +19,7 @@
 	"olivetiller/io/peer"
 )
 
-// directPeers calls other nodes' controllers.
+// directPeers implements the exchange between nodes by direct calls of their controllers.
 type directPeers struct {
 	Peers
 	nodes map[string]*Controller
@@ -34,24 +34,24 @@
 	return n.Exchange(e), nil
 }
 
-// keepingStore counts what it is to keep.
-type keepingStore struct {
+// verdictStore records the verdicts written to it.
+type verdictStore struct {
 	Store
-	kept []logstore.Verdict
+	verdicts []logstore.Verdict
 }
 
 // KeepVerdict implements Store.
-func (k *keepingStore) KeepVerdict(_ context.Context, v logstore.Verdict) error {
-	k.kept = append(k.kept, v)
+func (k *verdictStore) KeepVerdict(_ context.Context, v logstore.Verdict) error {
+	k.verdicts = append(k.verdicts, v)
 	return nil
 }
 
-// suspectNodes returns controllers that run nothing and know each other by their names.
-func suspectNodes(clock clockwork.Clock, names ...string) directPeers {
+// newPeerControllers returns controllers that are not running and reach each other by name.
+func newPeerControllers(clock clockwork.Clock, names ...string) directPeers {
 	d := directPeers{nodes: make(map[string]*Controller)}
 	for _, name := range names {
 		d.nodes[name] = New(Options{
-			Self: lease.Record{Holder: name, Life: name + "-1", Address: name}, Clock: clock, Logger: hclog.NewNullLogger(), Peers: d, Store: &keepingStore{},
+			Self: lease.Record{Holder: name, Life: name + "-1", Address: name}, Clock: clock, Logger: hclog.NewNullLogger(), Peers: d, Store: &verdictStore{},
 			Dispatcher: traffic.New(clock, "h", queue.Limits{Items: 9, Bytes: 999}, traffic.Hooks{}),
 			Isolation:  isolation.New(isolation.Options{Clock: clock, Logger: hclog.NewNullLogger(), Refuses: func(context.Context, string) bool { return true }}),
 		})
@@ -59,11 +59,11 @@
 	return d
 }
 
-// endpointOf is an engine as traffic knows it.
+// endpointOf returns an engine's endpoint in its first incarnation.
 func endpointOf(engine string) view.Endpoint { return view.Endpoint{Name: engine, Start: 1} }
 
-// blame has a node know that engines ended under a request.
-func blame(c *Controller, f quarantine.Fingerprint, engines ...string) {
+// addSuspicions informs a node that engines ended while they ran a request.
+func addSuspicions(c *Controller, f quarantine.Fingerprint, engines ...string) {
 	now := c.o.Clock.Now()
 	e := quarantine.Entry{Request: f, At: now}
 	for i, engine := range engines {
@@ -72,25 +72,25 @@
 	c.suspects.guard.Merge([]quarantine.Entry{e}, "test")
 }
 
-// TestExchangeWithoutHolder checks that nodes without a holder unite what each saw, that a node which began
-// anew is told all again, and that nothing is told twice.
+// TestExchangeWithoutHolder checks that nodes without a lease holder merge what each has seen, that a restarted node
+// is sent everything again, and that nothing is sent twice otherwise.
 func TestExchangeWithoutHolder(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	d := suspectNodes(clock, "a", "b")
+	d := newPeerControllers(clock, "a", "b")
 	a, b := d.nodes["a"], d.nodes["b"]
 	f := quarantine.Fingerprint{1}
-	blame(a, f, "e1")
-	blame(b, f, "e2")
-	m := a.exchangeWith(t.Context(), "b", exchanged{})
+	addSuspicions(a, f, "e1")
+	addSuspicions(b, f, "e2")
+	m := a.exchangeWith(t.Context(), "b", exchangeMark{})
 	ends := func(c *Controller) int { return c.suspects.guard.List()[0].Ends }
 	if diff := cmp.Diff([]int{2, 2}, []int{ends(a), ends(b)}); diff != "" {
 		t.Errorf("ends known to a and b (-want +got):\n%s", diff)
 	}
 	m = a.exchangeWith(t.Context(), "b", m)
-	if entries, _ := a.suspects.guard.Since(m.mine, quarantine.All); len(entries) != 0 {
+	if entries, _ := a.suspects.guard.Since(m.sent, quarantine.All); len(entries) != 0 {
 		t.Errorf("%d entries would be told again", len(entries))
 	}
-	d.nodes["b"] = suspectNodes(clock, "b").nodes["b"]
+	d.nodes["b"] = newPeerControllers(clock, "b").nodes["b"]
 	d.nodes["b"].o.Self.Life = "b-2"
 	m = a.exchangeWith(t.Context(), "b", m)
 	a.exchangeWith(t.Context(), "b", m)
@@ -99,15 +99,15 @@
 	}
 }
 
-// TestHolderTellsAll checks that a node's blames reach the holder with its report, and a verdict every other node
-// with the holder's word.
-func TestHolderTellsAll(t *testing.T) {
+// TestSuspectsReachAllNodes checks that a node's suspicions reach the lease holder with its report, and that a
+// verdict reaches every other node with the lease holder's snapshots.
+func TestSuspectsReachAllNodes(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	d := suspectNodes(clock, "h", "n", "o")
+	d := newPeerControllers(clock, "h", "n", "o")
 	h, n, o := d.nodes["h"], d.nodes["n"], d.nodes["o"]
 	f := quarantine.Fingerprint{1}
 	for _, engine := range []string{"e1", "e2", "e3"} {
-		// Ends of which this node knows by itself.
+		// Engine ends that this node has observed itself.
 		clock.Advance(time.Second)
 		n.suspects.guard.Seen(quarantine.Life{Engine: engine, Start: 1}, false)
 		run := n.suspects.guard.Send(f, endpointOf(engine))
@@ -116,7 +116,7 @@
 	}
 	r := &peer.Report{Node: "n"}
 	n.reportSuspects(r, "h-1", clock.Now())
-	h.holder.begin("h-1", 1, 1, nil, 0)
+	h.published.begin("h-1", 1, 1, nil, 0)
 	if err := h.Reported(r); err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 	if !h.addSuspects(s, peer.Question{}, clock.Now()) {
 		t.Error("nothing to tell")
 	}
-	o.hearSuspects(s, clock.Now())
+	o.mergeHolderSuspects(s, clock.Now())
 	if got := o.suspects.guard.State(f); got != quarantine.Quarantined {
 		t.Errorf("another node thinks of it as %v", got)
 	}
@@ -133,10 +133,10 @@
 	}
 }
 
-// TestWhoJudges checks that a node which hears of a holder leaves the judgement by belief to it, to which all blames
-// come, and judges by itself while it hears of none. A node that knew two of the eight suspects of an end convicted
-// proper requests: alone, each seemed to be the one.
-func TestWhoJudges(t *testing.T) {
+// TestConvictionNeedsAllSuspicions checks that a node with a lease holder leaves convictions by probability to the
+// holder, which receives all suspicions, and that a node without one decides itself. A node that knew of two of the
+// eight suspects of an engine's end convicted proper requests, since it overrated the probability of each.
+func TestConvictionNeedsAllSuspicions(t *testing.T) {
 	tests := []struct {
 		name           string
 		holds, hearsOf bool
@@ -149,20 +149,20 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			c := suspectNodes(clock, "n").nodes["n"]
+			c := newPeerControllers(clock, "n").nodes["n"]
 			c.suspects.guard.SetEngines(9)
-			c.held, c.remote.fresh = tt.holds, tt.hearsOf
-			c.judgeSuspects()
+			c.held, c.holderState.fresh = tt.holds, tt.hearsOf
+			c.evaluateSuspects()
 			f := quarantine.Fingerprint{1}
-			blame(c, f, "e1", "e2")
+			addSuspicions(c, f, "e1", "e2")
 			clock.Advance(time.Minute)
-			c.judgeSuspects()
+			c.evaluateSuspects()
 			if diff := cmp.Diff(tt.want.String(), c.suspects.guard.State(f).String()); diff != "" {
 				t.Errorf("after two ends (-want +got):\n%s", diff)
 			}
 			if tt.hearsOf {
-				c.remote.fresh = false
-				c.judgeSuspects()
+				c.holderState.fresh = false
+				c.evaluateSuspects()
 				if got := c.suspects.guard.State(f); got != quarantine.Quarantined {
 					t.Errorf("%v once the holder is lost, want quarantined", got)
 				}
--- a/internal/placer/lookup.go
+++ b/internal/placer/lookup.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// lookupPeers is how many addresses of other nodes each node knows: that all of them
-	// are lost together is unlikely, and they cost some 200 bytes once.
+	// lookupPeers is how many addresses of other nodes each node keeps. All of them are unlikely to fail together,
+	// and they cost some 200 bytes once.
 	lookupPeers = 8
-	// lookupEvery is the time between two questions of a node that has lost the holder.
+	// lookupEvery is the interval at which a node without a lease holder asks other nodes for it.
 	lookupEvery = 250 * time.Millisecond
 )
 
-// lookup is whom a node asks for the holder when it has lost it and does not reach the
-// store. It is safe for concurrent use.
-type lookup struct {
+// peerList holds the nodes to ask for the lease holder when this node has lost it and cannot read the store. It is
+// safe for concurrent use.
+type peerList struct {
 	mu    sync.Mutex
 	peers []string
 	next  int
 }
 
-// learn takes over the addresses that a holder told.
-func (l *lookup) learn(peers []string) {
+// setPeers replaces the addresses by those that a lease holder sent; an empty list is ignored.
+func (l *peerList) setPeers(peers []string) {
 	if len(peers) == 0 {
 		return
 	}
@@ -37,8 +37,8 @@
 	l.peers = peers
 }
 
-// pick returns whom to ask next, each in turn but for oneself; "" where nobody is known.
-func (l *lookup) pick(self string) string {
+// pick returns the next address in turn that is not self; "" if there is none.
+func (l *peerList) pick(self string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for range l.peers {
@@ -50,9 +50,9 @@
 	return ""
 }
 
-// lookUp asks another node who holds the lease, if this one can learn it in no other way.
-func (c *Controller) lookUp(ctx context.Context) {
-	if !c.reach.away() || c.leading.Load() {
+// askPeerForHolder asks another node for the latest lease record if the store does not answer this node.
+func (c *Controller) askPeerForHolder(ctx context.Context) {
+	if !c.storeHealth.unavailable() || c.leading.Load() {
 		return
 	}
 	address := c.lookup.pick(c.o.Self.Address)
@@ -61,45 +61,44 @@
 	}
 	m, err := c.o.Peers.Lease(ctx, address)
 	if err != nil {
-		c.o.Logger.Debug("another node does not know the holder", "address", address, "error", err.Error())
+		c.o.Logger.Debug("peer does not know the lease holder", "address", address, "error", err.Error())
 	} else {
-		c.inbox.Send(ctx, toldLease{m, address})
+		c.inbox.Send(ctx, leaseFromPeer{m, address})
 	}
 	c.pause(ctx, lookupEvery)
 }
 
-// toldLease is another node's word on the holder.
-type toldLease struct {
-	mark *peer.LeaseMark
-	by   string
+// leaseFromPeer is the latest lease record known to another node.
+type leaseFromPeer struct {
+	latest *peer.LeaseMark
+	by     string
 }
 
-func (m toldLease) handle(c *Controller) {
+func (m leaseFromPeer) handle(c *Controller) {
 	before, _ := c.lease.Holder()
-	// As with what the holder relays: the record's age is taken from now, which can only
-	// delay a takeover.
-	c.lease.Fold(m.mark.Offset, m.mark.Record, c.o.Clock.Now())
-	c.followHolder(before, m.by)
+	// As for a relayed record, its age is counted from now, which can only delay a takeover by this node.
+	c.lease.Fold(m.latest.Offset, m.latest.Record, c.o.Clock.Now())
+	c.watchNewHolder(before, m.by)
 }
 
-// LeaseMark implements peer.Holder.
-func (c *Controller) LeaseMark() *peer.LeaseMark { return c.mark.Load() }
+// LeaseMark implements [peer.Holder]: it returns the latest lease record known here, or nil.
+func (c *Controller) LeaseMark() *peer.LeaseMark { return c.latestLease.Load() }
 
-// markLease keeps what others may ask for.
-func (c *Controller) markLease() {
+// updateLatestLease updates the result of LeaseMark.
+func (c *Controller) updateLatestLease() {
 	rec, offset, ok := c.lease.Latest()
 	if !ok {
-		c.mark.Store(nil)
+		c.latestLease.Store(nil)
 		return
 	}
-	if m := c.mark.Load(); m == nil || m.Offset != offset {
-		c.mark.Store(&peer.LeaseMark{Record: rec, Offset: offset})
+	if m := c.latestLease.Load(); m == nil || m.Offset != offset {
+		c.latestLease.Store(&peer.LeaseMark{Record: rec, Offset: offset})
 	}
 }
 
-// addresses returns some addresses of the nodes that report, the same ones for all, in
-// the order of their hashes, so that they lie in all halls.
-func (c *Controller) addresses() []string {
+// peerAddresses returns up to lookupPeers addresses of reporting nodes. They are ordered by hash, so that all
+// followers receive the same ones and these are spread over the data halls.
+func (c *Controller) peerAddresses() []string {
 	var out []string
 	for _, f := range c.nodes {
 		if f.address != "" {
--- a/internal/placer/memory_test.go
+++ b/internal/placer/memory_test.go
@@ -13,7 +13,8 @@
 	"olivetiller/io/peer"
 )
 
-// fleetSnapshot is a whole snapshot of a fleet's endpoints, each with three models and eight adapters, as it comes from the wire.
+// fleetSnapshot returns the encoded full snapshot of a fleet whose endpoints have three models and eight adapters
+// each.
 func fleetSnapshot(t testing.TB, endpoints, models int) []byte {
 	t.Helper()
 	s := peer.Snapshot{Life: "h-1/1", Fence: 1, Version: 1, Whole: true, Nodes: 984, Serving: make(map[string][]string)}
@@ -36,7 +37,7 @@
 	return raw
 }
 
-// liveHeap returns the bytes that are in use.
+// liveHeap returns the number of bytes in use after a garbage collection.
 func liveHeap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -45,8 +46,8 @@
 	return m.HeapAlloc
 }
 
-// TestFleetFitsIntoWeakNodes guards against a node of 184 MB whose knowledge of 9,998 endpoints takes more than the 32 MB
-// that it is to have at its peak, with as much again for garbage.
+// TestFleetFitsIntoWeakNodes guards against a node with 184 MB of memory whose state of 9,998 endpoints takes more
+// than 32 MB at its peak. Half of that is left for garbage.
 func TestFleetFitsIntoWeakNodes(t *testing.T) {
 	const most = 32 << 20 / 2
 	raw := fleetSnapshot(t, 9998, 812)
@@ -62,13 +63,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	heardFrom{s, 0, clock.Now()}.handle(c)
+	snapshotReceived{s, 0, clock.Now()}.handle(c)
 	s = nil
 	c.publish(clock.Now())
 	held := liveHeap() - before
 	t.Logf("%d bytes on the wire, %.1f MB kept", len(raw), float64(held)/(1<<20))
 	if held > most {
-		t.Errorf("%.1f MB are kept of %d endpoints, want %d at most", float64(held)/(1<<20), len(c.index.of), most>>20)
+		t.Errorf("%.1f MB are kept of %d endpoints, want %d at most", float64(held)/(1<<20), len(c.index.byEndpoint), most>>20)
 	}
 	runtime.KeepAlive(c)
 	runtime.KeepAlive(raw)
--- a/internal/placer/mirror.go
+++ b/internal/placer/mirror.go
@@ -9,55 +9,58 @@
 	"olivetiller/io/peer"
 )
 
-// A feeder's board mirrors the holder's: the same life and versions, so that a node that goes from one feeder to
-// another, or to the holder, is sent what it lacks and no more. What a message of the holder changed has the version of
-// that message, which is never lower than the one at which it changed there. All moments are handed on with their age.
+// A feeder's publication mirrors the lease holder's, with the same incarnation and versions, so that a node that
+// changes from one feeder to another, or to the lease holder, receives a delta and not everything again. Each change
+// carries the version of the snapshot that brought it, which is never lower than the version at which it changed at
+// the lease holder. Times are passed on as ages.
 
-// wakeFed wakes the nodes that a feeder feeds: it knows more than the holder's board tells.
-func (b *board) wakeFed() {
+// wakeFollowers wakes the followers of a feeder: what it knows of suspected requests or signals, which is not part of
+// the mirrored state, has changed.
+func (b *publication) wakeFollowers() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.wakeWatchers()
 }
 
-// mirrors reports whether the board mirrors a life of a holder's.
-func (b *board) mirrors(life string) bool {
+// mirrors reports whether the publication mirrors an incarnation of a lease holder's.
+func (b *publication) mirrors(life string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.life == life
+	return b.incarnation == life
 }
 
-// mirrorAll begins to mirror a holder's board, by a message of it and all that is known of it here.
-func (b *board) mirrorAll(s *peer.Snapshot, serving map[string][]string, records []directory.Record, listedTo uint64) {
+// mirrorAll starts to mirror a lease holder's publication, from a snapshot and the complete state that this node has
+// built from earlier ones.
+func (b *publication) mirrorAll(s *peer.Snapshot, serving map[string][]string, records []directory.Record, listedTo uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.life, b.version, b.completeFrom, b.whole = s.Life, s.Version, s.Version, nil
-	b.serving, b.goneAt = make(map[string]shown, len(serving)), make(map[string]uint64)
+	b.incarnation, b.version, b.deltasFrom, b.full = s.Life, s.Version, s.Version, nil
+	b.serving, b.removedAt = make(map[string]servingEntry, len(serving)), make(map[string]uint64)
 	for id, pools := range serving {
-		b.serving[id] = shown{pools: pools, version: s.Version}
+		b.serving[id] = servingEntry{pools: pools, version: s.Version}
 	}
 	b.feed.instances, b.feed.listedTo = recordsOf(records, s.Version), listedTo
 	b.peersVersion, b.feed.takersVersion, b.feed.evacuationsVersion, b.feedersVersion = s.Version, s.Version, s.Version, s.Version
 	b.wakeWatchers()
 }
 
-// mirror takes a message of the holder over.
-func (b *board) mirror(s *peer.Snapshot) {
+// mirror applies a delta of the lease holder.
+func (b *publication) mirror(s *peer.Snapshot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	urgent := s.Config != nil || s.Evacuations != nil || len(s.Feeders) > 0
 	news := urgent || s.Version > b.version
 	b.version = max(b.version, s.Version)
 	for id, pools := range s.Serving {
-		b.serving[id] = shown{pools: pools, version: s.Version}
-		delete(b.goneAt, id)
+		b.serving[id] = servingEntry{pools: pools, version: s.Version}
+		delete(b.removedAt, id)
 	}
 	for _, id := range s.Gone {
 		delete(b.serving, id)
-		b.goneAt[id] = s.Version
+		b.removedAt[id] = s.Version
 	}
 	for _, r := range s.Instances {
-		b.feed.instances[r.ID] = shownInstance{r, s.Version}
+		b.feed.instances[r.ID] = instanceEntry{r, s.Version}
 		urgent = true
 	}
 	b.feed.listedTo = max(b.feed.listedTo, s.ListedTo)
@@ -69,11 +72,12 @@
 	}
 }
 
-// mirrorFeed takes over what each message of the holder holds, as of moments that lie in the past.
-func (b *board) mirrorFeed(s *peer.Snapshot, t *route.Table, evacuations *peer.Evacuations, asOf, heardAt time.Time) {
+// mirrorFeed applies what every snapshot of the lease holder contains. asOf is when the holder had read the store to
+// its end, and heardAt is when it had sent its state.
+func (b *publication) mirrorFeed(s *peer.Snapshot, t *route.Table, evacuations *peer.Evacuations, asOf, heardAt time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fence, b.nodes, b.successor, b.storeDoubt, b.heardAt = s.Fence, s.Nodes, s.Successor, s.StoreDoubt, heardAt
+	b.fence, b.nodes, b.successor, b.holderLostStore, b.holderSeenAt = s.Fence, s.Nodes, s.Successor, s.StoreDoubt, heardAt
 	f := &b.feed
 	f.lease, f.leaseOffset, f.configAt, f.instancesAt, f.evacuations = s.Lease, s.LeaseOffset, asOf, asOf, evacuations
 	if t != nil {
--- a/internal/placer/ordering.go
+++ b/internal/placer/ordering.go
@@ -10,12 +10,12 @@
 	"olivetiller/io/endpoint"
 )
 
-// planShare bounds the holder's processor time for planning: it rests that many
-// times as long as the last plan took.
+// planShare bounds the processor time that the lease holder spends on planning: it pauses planShare times as long as
+// the last plan took.
 const planShare = 8
 
-// orders sends what the planner finds due.
-func (c *Controller) orders(ctx context.Context, now time.Time) {
+// sendOrders runs the planner, sends the orders and report requests that are due, and publishes the result.
+func (c *Controller) sendOrders(ctx context.Context, now time.Time) {
 	if now.Before(c.planAt) {
 		c.planDue = true
 		return
@@ -34,19 +34,20 @@
 			go c.probe(ctx, a.Probe, now)
 		}
 	}
-	c.noteStoreLoads()
-	if !c.shown {
+	c.recordStoreLoads()
+	if !c.termPublished {
 		return
 	}
-	engines, changed := c.holder.update(c.planner, c.assumed(now), c.allowance.Nodes(now), now)
+	engines, changed := c.published.update(c.planner, c.assumed(now), c.allowance.Nodes(now), now)
 	for _, id := range engines {
 		c.touch(id)
 	}
-	c.stale = c.stale || changed
+	c.viewStale = c.viewStale || changed
 }
 
-// assumed returns what engines serve that the planner knows nothing of yet: what their own entries tell, else what the
-// holder before said. Without it a new holder's nodes would serve nothing until each engine has sent its report.
+// assumed returns the pools of engines that the planner does not know yet, by engine: those of the engine's entry,
+// otherwise those that the previous lease holder had published. Without them the followers of a new lease holder
+// could serve nothing until every engine has sent its report.
 func (c *Controller) assumed(now time.Time) map[string][]string {
 	out := make(map[string][]string)
 	for _, id := range c.planner.Unknown() {
@@ -62,32 +63,33 @@
 	return out
 }
 
-// noteStoreLoads shows what the planner has learned of the weight store.
-func (c *Controller) noteStoreLoads() {
+// recordStoreLoads stores how many loads from the weight store the planner allows at once, for metrics, and logs
+// changes.
+func (c *Controller) recordStoreLoads() {
 	n := int64(c.planner.StoreLoadsAtOnce())
 	if old := c.storeLoads.Swap(n); old != n {
-		c.o.Logger.Info("loads from the weight store at full speed", "atOnce", n, "before", old)
+		c.o.Logger.Info("concurrent loads from the weight store changed", "atOnce", n, "before", old)
 	}
 }
 
-// noteStarts logs the engines that started again under their ids, and the models under whose loads engines
-// ended.
-func (c *Controller) noteStarts() {
+// logRestarts logs the engines that restarted under the same id, and the models whose loads are suspended because
+// engines ended under them.
+func (c *Controller) logRestarts() {
 	for _, s := range c.planner.StartedAgain() {
-		c.startsAgain.Add(1)
-		c.o.Logger.Info("engine started again, what was believed of it is void", "engine", s.Engine, "born", int64(s.Start), "lateLoads", s.Late)
+		c.engineRestarts.Add(1)
+		c.o.Logger.Info("engine restarted, its previous state is discarded", "engine", s.Engine, "born", int64(s.Start), "lateLoads", s.Late)
 	}
 	for _, r := range c.planner.Resting() {
-		c.o.Logger.Warn("loads of a model rest, engines ended under them", "unit", r.Unit.Pool(), "enginesEnded", r.Ended, "restMs", r.Rest.Milliseconds())
+		c.o.Logger.Warn("loads of a model suspended, engines ended during them", "unit", r.Unit.Pool(), "enginesEnded", r.Ended, "restMs", r.Rest.Milliseconds())
 	}
 }
 
-// order sends one order, unless the lease ran out since it was planned.
+// order sends one order, unless the lease under which it was planned has ended.
 func (c *Controller) order(ctx context.Context, o *placement.Order) {
 	octx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	// Asked again right before the order's bytes leave: the machine may have slept since it was planned, and
-	// another node may order by then.
+	// The check runs again right before the order is written to the connection: the machine may have been suspended
+	// since the plan, and another node may be sending orders by then.
 	octx, checked := endpoint.WithCheck(octx, func() error { return c.mayOrder(o.Fence) })
 	defer checked()
 	reply, err := placement.Conflict, c.mayOrder(o.Fence)
@@ -106,24 +108,24 @@
 		args = append(args, "error", err.Error())
 	}
 	c.o.Logger.Info("order", args...)
-	c.inbox.Send(ctx, replied{o, reply})
+	c.inbox.Send(ctx, orderDone{o, reply})
 }
 
-// errLeaseOver is why an order is not sent.
-var errLeaseOver = errors.New("the lease under which it was planned has ended")
+// errLeaseOver is returned for an order that is not sent because its lease has ended.
+var errLeaseOver = errors.New("the lease under which the order was planned has ended")
 
-// mayOrder returns why an order under a fence must not be sent now, or nil.
+// mayOrder returns an error if an order under a fence must not be sent now.
 func (c *Controller) mayOrder(fence uint64) error {
-	if !c.holder.mayOrder(fence, c.o.Clock.Now()) {
+	if !c.published.mayOrder(fence, c.o.Clock.Now()) {
 		return errLeaseOver
 	}
 	return nil
 }
 
-// round shortens a figure for the log.
+// round rounds a figure to two decimals for the log.
 func round(v float64) float64 { return math.Round(v*100) / 100 }
 
-type replied struct {
+type orderDone struct {
 	order *placement.Order
 	reply placement.Reply
 }
@@ -134,27 +136,27 @@
 	defer cancel()
 	r, err := c.o.Engines.Report(pctx, p.Engine, p.Address)
 	if err != nil {
-		c.o.Logger.Info("no report", "engine", p.Engine, "error", err.Error())
+		c.o.Logger.Info("request for an engine's report failed", "engine", p.Engine, "error", err.Error())
 	}
-	c.inbox.Send(ctx, reported{p.Engine, r, err, asked})
+	c.inbox.Send(ctx, probeDone{p.Engine, r, err, asked})
 }
 
-type reported struct {
+type probeDone struct {
 	engine string
 	report placement.Report
 	err    error
 	asked  time.Time
 }
 
-func (m replied) handle(c *Controller) { c.planner.Replied(m.order, m.reply, c.o.Clock.Now()) }
+func (m orderDone) handle(c *Controller) { c.planner.Replied(m.order, m.reply, c.o.Clock.Now()) }
 
-func (m reported) handle(c *Controller) {
+func (m probeDone) handle(c *Controller) {
 	now := c.o.Clock.Now()
 	if m.err != nil {
 		c.planner.ProbeFailed(m.engine, now)
 		return
 	}
-	c.hearReport(m.engine, &m.report, m.asked)
+	c.applyReportedSignals(m.engine, &m.report, m.asked)
 	c.o.Logger.Info("report", "engine", m.engine, "born", int64(m.report.Start), "taken", m.report.Taken, "busy", m.report.Busy, "running", m.report.Running,
 		"models", len(m.report.Models), "adapters", m.report.Adapters(), "coming", len(m.report.Coming), "askedMsAgo", now.Sub(m.asked).Milliseconds(), "onDisk", len(m.report.OnDisk), "warm", len(m.report.Warm))
 	c.planner.Reported(m.engine, &m.report, m.asked, now)
--- a/internal/placer/publish.go
+++ b/internal/placer/publish.go
@@ -11,37 +11,37 @@
 	"olivetiller/core/view"
 )
 
-// touch notes an endpoint of which something has changed, for the next view.
+// touch marks an endpoint as changed, so that the next view updates it.
 func (c *Controller) touch(id string) {
 	c.touched[id] = true
-	c.stale = true
+	c.viewStale = true
 }
 
-// touchAll has the next view made anew from everything that is known.
-func (c *Controller) touchAll() { c.all, c.stale = true, true }
+// touchAll has the next view built from the complete state.
+func (c *Controller) touchAll() { c.rebuildAll, c.viewStale = true, true }
 
-// publish makes the view of what is known now and puts it in force: of the endpoints that were touched since the last
-// one, the others stay as they are.
+// publish builds a view of the current state and puts it in force. It updates only the endpoints that were touched
+// since the last view, unless rebuildAll is set.
 func (c *Controller) publish(now time.Time) {
 	t := c.table.Load()
 	v := &view.View{Ready: t != nil && c.listed && c.suspects.known.Load(), ReadyAt: c.readyAt(now)}
-	if tell := c.directory.TellStarts(); tell != c.startsGiven {
-		// Which entries are of endpoints has changed.
-		c.startsGiven, c.all = tell, true
+	if tell := c.directory.TellStarts(); tell != c.startsRecorded {
+		// This determines which entries count as endpoints.
+		c.startsRecorded, c.rebuildAll = tell, true
 	}
-	if c.all || t == nil {
-		c.index, c.halls.coldRates, c.halls.warmAt = newIndex(), make(map[string]float64), time.Time{}
+	if c.rebuildAll || t == nil {
+		c.index, c.halls.coldRates, c.halls.firstWarmAt = newIndex(), make(map[string]float64), time.Time{}
 	}
 	var changed []string
 	if t != nil {
 		v.Revision = uint64(t.Config.Version)
-		if c.all {
+		if c.rebuildAll {
 			for _, e := range c.directory.Live(now) {
-				c.place(e, now)
+				c.indexEndpoint(e, now)
 			}
 		} else {
 			for id := range c.touched {
-				c.replace(id, now)
+				c.updateEndpoint(id, now)
 			}
 			changed = c.index.changed()
 		}
@@ -49,36 +49,35 @@
 	v.Shared = c.index.pools()
 	v.Evacuated, v.Cold = c.halls.evacuated.Halls(), maps.Clone(c.halls.coldRates)
 	c.suspects.guard.SetEngines(c.index.endpoints())
-	if c.held && (c.all || len(c.touched) > 0) {
-		c.showInstances(now)
+	if c.held && (c.rebuildAll || len(c.touched) > 0) {
+		c.publishInstances(now)
 	}
-	c.all = t == nil
+	c.rebuildAll = t == nil
 	clear(c.touched)
 	c.view.Store(v)
 	c.o.Dispatcher.Update(v, changed)
 }
 
-// replace works an endpoint's places out anew.
-func (c *Controller) replace(id string, now time.Time) {
+// updateEndpoint updates the pools of an endpoint, and removes it from all of them if its entry is gone.
+func (c *Controller) updateEndpoint(id string, now time.Time) {
 	delete(c.halls.coldRates, id)
 	if e := c.directory.Find(id, now); e != nil {
-		c.place(e, now)
+		c.indexEndpoint(e, now)
 		return
 	}
 	c.index.set(view.Endpoint{Name: id}, nil)
 }
 
-// showInstances shows the list of endpoints to the nodes that this one feeds as the holder.
-func (c *Controller) showInstances(now time.Time) {
-	c.holder.showInstances(c.directory.Records(now), c.listedTo)
+// publishInstances publishes the list of endpoints to this lease holder's followers.
+func (c *Controller) publishInstances(now time.Time) {
+	c.published.publishInstances(c.directory.Records(now), c.listedTo)
 }
 
-// defaultSlots is taken for a service whose endpoints do not tell how many
-// requests they run at once.
+// defaultSlots is the concurrency of an endpoint whose entry does not give one, in requests.
 const defaultSlots = 16
 
-// place puts an endpoint into the pools that it serves, and takes it out of all others.
-func (c *Controller) place(e *directory.Entry, now time.Time) {
+// indexEndpoint adds an endpoint to the pools that it serves and removes it from all others.
+func (c *Controller) indexEndpoint(e *directory.Entry, now time.Time) {
 	ep := view.Endpoint{Name: e.ID, Address: e.Address, Hall: e.Hall, Start: int64(e.Start), Incarnation: incarnation(e), Concurrency: e.Slots}
 	if ep.Concurrency <= 0 {
 		ep.Concurrency = defaultSlots
@@ -88,7 +87,7 @@
 		c.index.set(ep, nil)
 		return
 	}
-	c.cool(&ep, e, now)
+	c.setCold(&ep, e, now)
 	if s.Engine == nil {
 		c.index.set(ep, []string{view.ServicePool(e.Service)})
 		return
@@ -102,22 +101,22 @@
 	c.index.set(ep, pools)
 }
 
-// incarnation tells an endpoint that started again from the one before, which its breakers
-// and its patience were of.
+// incarnation distinguishes a restarted endpoint from its predecessor, whose circuit breakers and backoff must not
+// apply to it.
 func incarnation(e *directory.Entry) uint64 {
 	return xxhash.Sum64String(e.ID) + uint64(e.Start)
 }
 
-// pools returns the pools that an engine serves, from the best source there is. A node that was not told by the entry
-// itself what the engine holds keeps to the holder's last word, also while no newer one comes: the engine refuses what
-// it does not hold.
+// pools returns the pools that an engine serves. At the lease holder this is the published state; at other nodes the
+// lease holder's state, as long as it is fresh or the engine's entry does not list what it holds. In the latter case
+// outdated state is better than none, since the engine refuses requests for units that it lacks.
 func (c *Controller) pools(e *directory.Entry) []string {
 	if c.held {
-		if pools, ok := c.holder.pools(e.ID); ok {
+		if pools, ok := c.published.pools(e.ID); ok {
 			return pools
 		}
-	} else if c.remote.fresh || !e.HoldingsKnown {
-		if pools, ok := c.remote.serving[e.ID]; ok {
+	} else if c.holderState.fresh || !e.HoldingsKnown {
+		if pools, ok := c.holderState.serving[e.ID]; ok {
 			return pools
 		}
 	}
@@ -138,15 +137,15 @@
 	return pools
 }
 
-// pools returns what the board shows of an engine.
-func (b *board) pools(engine string) ([]string, bool) {
+// pools returns the pools that are published for an engine.
+func (b *publication) pools(engine string) ([]string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sh, ok := b.serving[engine]
 	return sh.pools, ok
 }
 
-// readyAt returns when units without an engine are expected, by pool.
+// readyAt returns by pool when units that no engine serves yet are expected to be ready.
 func (c *Controller) readyAt(now time.Time) map[string]time.Time {
 	switch {
 	case c.held:
@@ -155,8 +154,8 @@
 			out[u.Pool()] = at
 		}
 		return out
-	case c.remote.fresh:
-		return c.remote.readyAt
+	case c.holderState.fresh:
+		return c.holderState.readyAt
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/placer/quota.go
@@ -0,0 +1,315 @@
+package placer
+
+import (
+	"context"
+	"errors"
+	"math"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"olivetiller/core/customer"
+	"olivetiller/core/quota"
+	"olivetiller/core/signal"
+	"olivetiller/core/view"
+	"olivetiller/io/peer"
+)
+
+// probeEvery is the interval at which a node that is partitioned from the lease holder asks it again, and so how late
+// it may notice that it can reach the holder.
+const probeEvery = 200 * time.Millisecond
+
+// forgetEvery is the interval at which idle accounts are dropped.
+const forgetEvery = time.Minute
+
+// quotas enforces the limits of customers and endpoints: as the lease holder it grants amounts to all nodes, and at
+// every node it charges the node's own requests. It is safe for concurrent use.
+type quotas struct {
+	mu sync.Mutex
+	// granter is set while this node holds the lease.
+	granter   *quota.Granter
+	allowance *quota.Purse
+	tolerance quota.Tolerance
+	probed    time.Time
+	probing   bool
+	// idleDroppedAt is when idle accounts were last dropped.
+	idleDroppedAt time.Time
+}
+
+// dropIdle drops the accounts that are no longer used, once per forgetEvery. The caller holds c.mu.
+func (c *quotas) dropIdle(now time.Time) {
+	if now.Sub(c.idleDroppedAt) < forgetEvery {
+		return
+	}
+	c.idleDroppedAt = now
+	c.allowance.ForgetIdle(now)
+	if c.granter != nil {
+		c.granter.ForgetIdle(now)
+	}
+}
+
+func (c *quotas) init(life string, tolerance quota.Tolerance) {
+	c.tolerance, c.allowance = tolerance, quota.NewPurse(life, tolerance)
+}
+
+// begin makes this node the granter. known is the number of nodes under the previous lease holder, as far as this
+// node knows.
+func (c *quotas) begin(known int, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.granter = quota.NewGranter(c.tolerance, max(known, c.allowance.Members()), now)
+}
+
+// end stops granting at this node.
+func (c *quotas) end() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.granter = nil
+}
+
+// noteReport records a node's report to this lease holder. alone is true if the node is partitioned and spends its
+// own share of the limits.
+func (c *quotas) noteReport(node string, alone bool, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.granter != nil {
+		c.granter.Heard(node, alone, now)
+	}
+}
+
+// partitioned reports whether this node gets no answers from the lease holder and spends its own share of the limits.
+func (c *quotas) partitioned() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.allowance.Alone()
+}
+
+// members returns over how many nodes the limits are divided, as far as this node knows.
+func (c *quotas) members(now time.Time) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.granter != nil {
+		return c.granter.Members(now)
+	}
+	return c.allowance.Members()
+}
+
+// dropRemovedCustomers drops the accounts of customers that the configuration no longer contains. customer reports
+// whether it contains one.
+func (c *quotas) dropRemovedCustomers(customer func(name string) bool) {
+	known := func(account string) bool { return strings.HasPrefix(account, endpointPrefix) || customer(account) }
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.allowance.Forget(known)
+	if c.granter != nil {
+		c.granter.Forget(known)
+	}
+}
+
+// Credit implements [peer.Holder]: it grants an amount of a customer's or an endpoint's limit to another node. It
+// returns peer.ErrNotHolder if this node does not hold the lease.
+func (c *Controller) Credit(q *peer.CreditQuestion) (*peer.Credit, error) {
+	if err := q.Check(); err != nil {
+		return nil, err
+	}
+	k, now := &c.quotas, c.o.Clock.Now()
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.granter == nil {
+		return nil, peer.ErrNotHolder
+	}
+	// The node stops spending its own share when it receives this answer.
+	k.granter.Heard(q.Node, false, now)
+	a := &peer.Credit{Members: k.granter.Members(now)}
+	switch {
+	case q.Endpoint != "":
+		life := signal.Life{Endpoint: q.Endpoint, Start: q.Born}
+		account, bound := endpointAccount(life), quota.OfEndpoint(q.Limit, a.Members)
+		if q.Cold {
+			account, bound = coldAccount(life), c.o.Cold.OfCold(q.Limit, a.Members)
+		}
+		answer := k.granter.AskBound(account, bound, q.Need, q.Ahead, now)
+		a.Granted, a.AfterMs = answer.Granted, roundUp(answer.After)
+		return a, nil
+	case q.Customer == "":
+		return a, nil
+	}
+	t := c.table.Load()
+	if t == nil || t.Customer(q.Customer) == nil {
+		a.Unknown = true
+		return a, nil
+	}
+	answer := k.granter.Ask(q.Customer, t.Customer(q.Customer).Limit, q.Need, q.Ahead, now)
+	a.Granted, a.AfterMs = answer.Granted, roundUp(answer.After)
+	return a, nil
+}
+
+// askForGrant asks the lease holder, which may be this node, and records in the allowance whether it answered. ok is
+// false if it did not.
+func (c *Controller) askForGrant(ctx context.Context, q *peer.CreditQuestion) (*peer.Credit, bool) {
+	k := &c.quotas
+	sent := c.o.Clock.Now()
+	a, err := askHolder(ctx, c, q, c.Credit, c.o.Peers.Credit)
+	now := c.o.Clock.Now()
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if err != nil {
+		if ctx.Err() != nil {
+			// The caller cancelled the request, which says nothing about the lease holder.
+			return nil, false
+		}
+		if !k.allowance.Alone() {
+			c.o.Logger.Info("no answer on customers' limits, this node spends its own share", "holder", c.holderState.target().Holder, "error", err.Error())
+		}
+		k.allowance.Lost(sent, now)
+		return nil, false
+	}
+	if k.allowance.Alone() {
+		c.o.Logger.Info("answers on customers' limits regained", "nodes", a.Members)
+	}
+	k.allowance.Heard(sent, a.Members)
+	return a, true
+}
+
+// errNoHolderKnown is returned instead of a call if this node knows of no lease holder to ask.
+var errNoHolderKnown = errors.New("no lease holder is known")
+
+// askHolder asks the lease holder a question: here answers it if this node is the holder, otherwise there sends it to
+// the holder's address.
+func askHolder[Q, A any](ctx context.Context, c *Controller, q *Q, here func(*Q) (*A, error), there func(context.Context, string, *Q) (*A, error)) (*A, error) {
+	if c.leading.Load() {
+		return here(q)
+	}
+	h := c.holderState.target()
+	if h.Holder == "" || h.Life == c.o.Self.Life {
+		return nil, errNoHolderKnown
+	}
+	return there(ctx, h.Address, q)
+}
+
+// Charge charges need to the limit of a customer. It asks the lease holder for a grant if the amount held here does
+// not suffice; the decision says whether the request may pass, and otherwise when to retry.
+func (c *Controller) Charge(ctx context.Context, of *customer.Customer, need float64) quota.Decision {
+	if !of.Limit.Limited() {
+		return quota.Decision{}
+	}
+	return c.charge(ctx, of.Name, c.quotas.tolerance.Bound(of.Limit), need, peer.CreditQuestion{Customer: of.Name})
+}
+
+// ChargeEndpoint charges one request to an endpoint that accepts a limited rate, because it reported a capacity or
+// because it is cold. limit is the reported capacity in requests per second. It returns 0 if the request may be sent,
+// otherwise the time after which to ask again.
+func (c *Controller) ChargeEndpoint(ctx context.Context, e view.Endpoint, limit float64) time.Duration {
+	life, nodes := signal.Life{Endpoint: e.Name, Start: e.Start}, int(c.memberCount.Load())
+	if asked := c.o.Clock.Now(); e.Cold(asked) {
+		d := c.charge(ctx, coldAccount(life), c.o.Cold.OfCold(e.ColdRate, nodes), 1, peer.CreditQuestion{Endpoint: e.Name, Born: e.Start, Limit: e.ColdRate, Cold: true})
+		if d.Step != quota.Pass {
+			return max(time.Millisecond, d.After)
+		}
+		if c.o.Clock.Now().Sub(asked) > quota.GrantLife {
+			// The machine was suspended meanwhile, and the grant was for an interval that has passed.
+			return time.Millisecond
+		}
+		if limit >= e.ColdRate {
+			return 0
+		}
+	}
+	d := c.charge(ctx, endpointAccount(life), quota.OfEndpoint(limit, nodes), 1, peer.CreditQuestion{Endpoint: e.Name, Born: e.Start, Limit: limit})
+	if d.Step == quota.Pass {
+		return 0
+	}
+	return max(time.Millisecond, d.After)
+}
+
+// endpointAccount returns the account name of an endpoint's incarnation. It begins with a NUL, which no customer's
+// name contains.
+func endpointAccount(l signal.Life) string {
+	return endpointPrefix + l.Endpoint + "@" + strconv.FormatInt(l.Start, 10)
+}
+
+// coldAccount returns the account name of an endpoint's incarnation while it is cold.
+func coldAccount(l signal.Life) string { return endpointAccount(l) + coldSuffix }
+
+const (
+	endpointPrefix = "\x00"
+	coldSuffix     = "\x00cold"
+)
+
+// roundUp returns d in milliseconds, rounded up: a caller that retries a fraction of a millisecond too early is
+// refused again.
+func roundUp(d time.Duration) int64 {
+	return int64(math.Ceil(float64(d) / float64(time.Millisecond)))
+}
+
+// charge charges need to an account under a bound, from the amount held here or by sending q to the lease holder.
+func (c *Controller) charge(ctx context.Context, account string, of quota.Bound, need float64, q peer.CreditQuestion) quota.Decision {
+	k := &c.quotas
+	sent := c.o.Clock.Now()
+	k.mu.Lock()
+	d := k.allowance.TakeBound(account, of, need, sent)
+	q.Node, q.Alone, q.Need, q.Ahead = c.o.Self.Holder, k.allowance.Alone(), need, d.Ahead
+	k.mu.Unlock()
+	if d.Step != quota.AskFor {
+		return d
+	}
+	a, ok := c.askForGrant(ctx, &q)
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	now := c.o.Clock.Now()
+	switch {
+	case !ok:
+		d = k.allowance.TakeBound(account, of, need, now)
+	case a.Unknown:
+		// This node and the lease holder have different configurations, one of which is about to change.
+		d = quota.Decision{Step: quota.Unknown, After: probeEvery}
+	case a.Granted < need:
+		d = quota.Decision{Step: quota.Over, After: time.Duration(a.AfterMs) * time.Millisecond}
+		k.allowance.Refused(account, need, d.After, now)
+	default:
+		k.allowance.Granted(account, a.Granted, need, sent)
+		return quota.Decision{}
+	}
+	if d.Step == quota.AskFor {
+		d = quota.Decision{Step: quota.Unknown, After: probeEvery}
+	}
+	return d
+}
+
+// GiveBack refunds what was charged at a time for a request that certainly has not run.
+func (c *Controller) GiveBack(name string, amount float64, charged time.Time) {
+	k, now := &c.quotas, c.o.Clock.Now()
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.allowance.GiveBack(name, amount, charged, now)
+}
+
+// probeQuotaHolder asks the lease holder, once per probeEvery, whether it answers while this node spends its own
+// share of the limits, and while it does not yet know the number of nodes.
+func (c *Controller) probeQuotaHolder(ctx context.Context, now time.Time) {
+	k := &c.quotas
+	if c.held {
+		k.noteReport(c.o.Self.Holder, false, now)
+	}
+	t := c.table.Load()
+	keyed := t != nil && t.Keyed()
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.dropIdle(now)
+	if !keyed && !k.allowance.Alone() {
+		// Without customers' limits, nothing needs to be known in advance: limits of endpoints are asked for with
+		// each request.
+		return
+	}
+	if k.probing || !k.allowance.Alone() && k.allowance.Members() > 0 || now.Sub(k.probed) < probeEvery {
+		return
+	}
+	k.probed, k.probing = now, true
+	q := &peer.CreditQuestion{Node: c.o.Self.Holder, Alone: true}
+	go func() {
+		_, _ = c.askForGrant(ctx, q)
+		k.mu.Lock()
+		defer k.mu.Unlock()
+		k.probing = false
+	}()
+}
--- a/internal/placer/credit_test.go
+++ b/internal/placer/quota_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestComesBackNotTooEarly guards against a caller that is told to come back a part of a millisecond before there is room,
-// and is refused again.
-func TestComesBackNotTooEarly(t *testing.T) {
+// TestRetryDelayIsRoundedUp guards against a caller that retries a fraction of a millisecond before its limit permits
+// the request and is refused again, because the delay was rounded down to milliseconds.
+func TestRetryDelayIsRoundedUp(t *testing.T) {
 	for _, tt := range []struct {
 		after time.Duration
 		want  int64
--- a/internal/placer/readers.go
+++ b/internal/placer/readers.go
@@ -18,40 +18,41 @@
 	"olivetiller/io/boottime"
 )
 
-// Times of the readers.
+// Timeouts and pauses of the readers.
 const (
-	// readSlack is added to the time that the store keeps a read open, for the answer.
+	// readSlack is how much longer than the wait at the store a read may take.
 	readSlack = 700 * time.Millisecond
-	// wholeAtMost bounds a read of all there is. Where 195 nodes lose the holder together and
-	// the configuration has many routes, the store's link takes seconds for all; a bound on
-	// the length alone made each of them begin anew, 30,000 calls a day.
-	wholeAtMost = 10 * time.Second
-	// retryPause is the pause after a failed read. It doubles up to pace.retryAtMost:
-	// every call has its price, refused ones too, and the platform's bounds run
-	// from seconds after its return.
+	// fullReadTimeout bounds a full read. If 195 nodes lose the lease holder together and the configuration has many
+	// routes, the store's link needs seconds for all of them; with a bound that ended the reads before, each node
+	// started again, at 30,000 calls a day.
+	fullReadTimeout = 10 * time.Second
+	// retryPause is the first pause after a failed read. It doubles up to timing.maxRetryPause: failed calls cost as
+	// much as others, and the time in which a change must take effect runs again from seconds after the store has
+	// returned.
 	retryPause = 250 * time.Millisecond
-	// doubtWait and doubtSlack take the places of the time that the store keeps a read
-	// open and of readSlack while the holder asks whether others reach the store: its
-	// lease ends within some hundred milliseconds.
-	doubtWait  = 200 * time.Millisecond
-	doubtSlack = 400 * time.Millisecond
-	// doubtPause is the pause after a read while the holder asks, less than
-	// lease.VouchFresh by a read: an outage costs a node two calls a second.
-	doubtPause = 500 * time.Millisecond
+	// outageReadWait and outageReadSlack replace the wait and readSlack while the lease holder asks whether the store
+	// answers other nodes: its lease ends within some hundred milliseconds.
+	outageReadWait  = 200 * time.Millisecond
+	outageReadSlack = 400 * time.Millisecond
+	// outagePause is the pause after a read while the lease holder asks. It is shorter than lease.VouchFresh by the
+	// duration of a read; an outage costs two calls per second and node.
+	outagePause = 500 * time.Millisecond
 )
 
-// reader follows one topic.
+// reader reads one topic of the store repeatedly.
 type reader[T any] struct {
 	name string
-	// every is the least time between two reads of the holder, ownEvery of others.
-	every, ownEvery time.Duration
-	// scout readers go on trying while the store is away; the others wait for them.
-	scout bool
-	// newest reads all there is, and gives up when nothing of it comes for a time.
-	newest func(ctx context.Context, silence time.Duration) (logstore.Page[T], error)
-	read   func(ctx context.Context, from uint64, wait time.Duration) (logstore.Page[T], error)
-	// apply makes the message for the owner of a page that was asked for at a moment;
-	// whole is true for one that holds all there is.
+	// holderInterval is the least time between two reads at the lease holder, and ownInterval at other nodes.
+	holderInterval, ownInterval time.Duration
+	// retriesInOutage is true for the reader that keeps probing the store during an outage; the other readers wait
+	// until it succeeds.
+	retriesInOutage bool
+	// readFull reads the latest record of every key, and fails after a silence without data; nil for a topic without
+	// keys.
+	readFull func(ctx context.Context, silence time.Duration) (logstore.Page[T], error)
+	read     func(ctx context.Context, from uint64, wait time.Duration) (logstore.Page[T], error)
+	// apply returns the message to the owner for a page; full is true for a full read, and asked is when the read was
+	// sent.
 	apply func(page logstore.Page[T], whole bool, asked time.Time) message
 	// idle reports whether the topic need not be read now.
 	idle func() bool
@@ -60,54 +61,57 @@
 func (c *Controller) startReaders(ctx context.Context) {
 	s := c.o.Store
 	go follow(ctx, c, reader[logstore.Config]{
-		name: "configuration", newest: s.NewestConfig, read: s.Configs, idle: c.spared,
+		name: "configuration", readFull: s.NewestConfig, read: s.Configs, idle: c.skipsStoreReads,
 		apply: func(p logstore.Page[logstore.Config], whole bool, asked time.Time) message {
-			return configs{p, whole, asked}
+			return configPage{p, whole, asked}
 		},
 	})
 	go follow(ctx, c, reader[logstore.Instance]{
-		name: "endpoints", every: c.pace.instancesEvery, ownEvery: c.pace.ownInstancesEvery, newest: s.NewestInstances, read: s.Instances, idle: c.spared,
-		apply: func(p logstore.Page[logstore.Instance], whole bool, _ time.Time) message { return instances{p, whole} },
+		name: "endpoints", holderInterval: c.timing.instancesEvery, ownInterval: c.timing.ownInstancesEvery, readFull: s.NewestInstances, read: s.Instances, idle: c.skipsStoreReads,
+		apply: func(p logstore.Page[logstore.Instance], whole bool, _ time.Time) message {
+			return instancePage{p, whole}
+		},
 	})
 	go follow(ctx, c, reader[logstore.Verdict]{
-		name: "quarantine", ownEvery: c.pace.ownInstancesEvery, newest: s.NewestVerdicts, read: s.Verdicts,
-		idle:  func() bool { return c.spared() || c.leading.Load() && c.suspects.read.Load() },
-		apply: func(p logstore.Page[logstore.Verdict], _ bool, _ time.Time) message { return verdicts{p} },
+		name: "quarantine", ownInterval: c.timing.ownInstancesEvery, readFull: s.NewestVerdicts, read: s.Verdicts,
+		idle:  func() bool { return c.skipsStoreReads() || c.leading.Load() && c.suspects.storeRead.Load() },
+		apply: func(p logstore.Page[logstore.Verdict], _ bool, _ time.Time) message { return verdictPage{p} },
 	})
 	go follow(ctx, c, reader[[]byte]{
-		name: "lease", read: s.Lease, scout: true,
+		name: "lease", read: s.Lease, retriesInOutage: true,
 		idle: func() bool {
-			return c.isFed() && !(c.doubted.Load() && c.asksAll()) || !c.isFed() && !c.readsLease() || c.leading.Load() && !c.leaseDoubt.Load()
+			return c.relayFresh() && !(c.holderLostStore.Load() && c.needsAllReports()) || !c.relayFresh() && !c.shouldReadLease() || c.leading.Load() && !c.leaseUncertain.Load()
 		},
-		apply: func(p logstore.Page[[]byte], _ bool, _ time.Time) message { return leases{p} },
+		apply: func(p logstore.Page[[]byte], _ bool, _ time.Time) message { return leasePage{p} },
 	})
 	go c.watch(ctx)
 	go c.exchangeSuspects(ctx)
 }
 
-// spared reports whether this node need not read the store: it is fed, or may be soon.
-func (c *Controller) spared() bool { return c.isFed() || !c.readsItself() }
+// skipsStoreReads reports whether this node need not read the store: it has fresh relayed state, or still waits for
+// some.
+func (c *Controller) skipsStoreReads() bool { return c.relayFresh() || !c.shouldReadStore() }
 
-// follow reads a topic until the context ends: first what is newest, where the
-// topic has keys, then what comes. When the platform dropped the records asked
-// for, it begins anew.
+// follow reads a topic until ctx ends: first the full state, if the topic has keys, then the records that follow. It
+// starts again with a full read after the store has dropped the requested records, after a restore, and after the
+// reader was idle.
 func follow[T any](ctx context.Context, c *Controller, r reader[T]) {
 	var next uint64
-	whole, well, pause := r.newest != nil, true, retryPause
-	silence := c.pace.silence
-	// The first read does not wait for news: where the lease is free, a node that waited
-	// took it two seconds later, and all nodes read for themselves meanwhile.
+	whole, well, pause := r.readFull != nil, true, retryPause
+	silence := c.timing.silenceTimeout
+	// The first read does not wait at the store. Otherwise a node would notice a free lease two seconds late, and all
+	// nodes would read the store themselves until then.
 	first := true
 	var era readerEra
 	for ctx.Err() == nil {
-		if r.idle() || !r.scout && c.reach.away() {
-			// What was missed meanwhile is read anew, with what engines hold.
-			whole = r.newest != nil
+		if r.idle() || !r.retriesInOutage && c.storeHealth.unavailable() {
+			// Records may have been missed; a full read also contains what engines hold.
+			whole = r.readFull != nil
 			c.pause(ctx, tickEvery)
 			continue
 		}
 		started := c.o.Clock.Now()
-		whole = whole || r.newest != nil && era.judge(started)
+		whole = whole || r.readFull != nil && era.rereadDue(started)
 		wait, slack := c.readWait()
 		switch {
 		case whole:
@@ -120,17 +124,17 @@
 		switch {
 		case err == nil:
 			if !well {
-				c.o.Logger.Info("store regained", "topic", r.name, "next", page.Next)
+				c.o.Logger.Info("store available again", "topic", r.name, "next", page.Next)
 			}
-			well, pause, silence, first = true, retryPause, c.pace.silence, false
-			if r.scout {
-				c.reach.gotAnswer(started)
-				c.inbox.Send(ctx, storeBack{})
+			well, pause, silence, first = true, retryPause, c.timing.silenceTimeout, false
+			if r.retriesInOutage {
+				c.storeHealth.succeeded(started)
+				c.inbox.Send(ctx, leaseReadSucceeded{})
 			}
 			if back := era.enter(page.Next, c.o.Clock.Now()); back {
-				c.inbox.Send(ctx, putBack{r.name, next, position.Begin(position.Era(page.Next))})
+				c.inbox.Send(ctx, storeRestored{r.name, next, position.Begin(position.Era(page.Next))})
 			}
-			c.passedOver(r.name, page.Damaged)
+			c.countSkipped(r.name, page.Damaged)
 			if !c.inbox.Send(ctx, r.apply(page, whole, started)) {
 				return
 			}
@@ -138,41 +142,41 @@
 		case errors.As(err, &failed) && failed.Kind == logstore.Dropped:
 			c.o.Logger.Info("records dropped by the store", "topic", r.name, "from", next, "first", failed.First)
 			if failed.First <= next {
-				// There is nothing at that place yet.
+				// No record has been written at that position yet.
 				c.pause(ctx, retryPause)
 			}
-			next, whole = failed.First, r.newest != nil
+			next, whole = failed.First, r.readFull != nil
 			continue
 		case errors.As(err, &failed) && failed.Kind == logstore.PutBack:
 			era.enter(failed.First, c.o.Clock.Now())
-			c.inbox.Send(ctx, putBack{r.name, next, failed.First})
-			next, whole = failed.First, r.newest != nil
+			c.inbox.Send(ctx, storeRestored{r.name, next, failed.First})
+			next, whole = failed.First, r.readFull != nil
 			continue
 		default:
 			if well {
-				c.o.Logger.Warn("store lost", "topic", r.name, "error", err.Error())
+				c.o.Logger.Warn("store unavailable", "topic", r.name, "error", err.Error())
 			}
 			well = false
-			if r.scout {
-				c.reach.gotNone(started)
+			if r.retriesInOutage {
+				c.storeHealth.failed(started)
 			}
-			c.inbox.Send(ctx, storeAway{r.scout})
-			if c.doubted.Load() {
-				pause = doubtPause
+			c.inbox.Send(ctx, storeReadFailed{r.retriesInOutage})
+			if c.holderLostStore.Load() {
+				pause = outagePause
 			}
 			c.pause(ctx, pause)
-			pause, silence = min(2*pause, c.pace.retryAtMost), min(2*silence, c.pace.silenceAtMost)
+			pause, silence = min(2*pause, c.timing.maxRetryPause), min(2*silence, c.timing.maxSilenceTimeout)
 			continue
 		}
-		every := r.ownEvery
+		every := r.ownInterval
 		switch {
 		case c.leading.Load():
-			every = r.every
-		case c.doubted.Load():
-			every = doubtWait + doubtPause
+			every = r.holderInterval
+		case c.holderLostStore.Load():
+			every = outageReadWait + outagePause
 		}
 		if page.Next < page.End {
-			// More is there than one answer holds.
+			// The topic has more records than one answer holds.
 			every = 0
 		}
 		if left := every - c.o.Clock.Now().Sub(started); left > 0 {
@@ -181,16 +185,16 @@
 	}
 }
 
-// readerEra is in which era of the store a reader has read.
+// readerEra tracks the store's era as seen by one reader.
 type readerEra struct {
 	read bool
 	era  uint64
-	// judgeAt is when all there is is to be read once more; zero for never.
-	judgeAt time.Time
+	// rereadAt is when a full read is due after a restore; zero if none is.
+	rereadAt time.Time
 }
 
-// enter notes a position read up to, and reports whether the store was put back since the
-// one before. What a copy holds is read again once its writers have had time.
+// enter records the position read up to, and reports whether the store was restored since the previous one. After a
+// restore a full read becomes due once the store's writers have had rewriteGrace.
 func (e *readerEra) enter(p position.Position, now time.Time) (back bool) {
 	era := position.Era(p)
 	if e.read && era <= e.era {
@@ -199,47 +203,45 @@
 	back = e.read
 	e.read, e.era = true, era
 	if era > 0 {
-		e.judgeAt = now.Add(rewriteTime)
+		e.rereadAt = now.Add(rewriteGrace)
 	}
 	return back
 }
 
-// judge reports, once, whether all there is is to be read once more.
-func (e *readerEra) judge(now time.Time) bool {
-	due := !e.judgeAt.IsZero() && !now.Before(e.judgeAt)
+// rereadDue reports, once, that a full read is due.
+func (e *readerEra) rereadDue(now time.Time) bool {
+	due := !e.rereadAt.IsZero() && !now.Before(e.rereadAt)
 	if due {
-		e.judgeAt = time.Time{}
+		e.rereadAt = time.Time{}
 	}
 	return due
 }
 
 func readOnce[T any](ctx context.Context, clock clockwork.Clock, r reader[T], next uint64, whole bool, wait, slack time.Duration) (logstore.Page[T], error) {
 	if whole {
-		ctx, cancel := boottime.WithTimeout(ctx, clock, wholeAtMost)
+		ctx, cancel := boottime.WithTimeout(ctx, clock, fullReadTimeout)
 		defer cancel()
-		return r.newest(ctx, slack)
+		return r.readFull(ctx, slack)
 	}
 	limit := wait + slack
-	if r.newest != nil {
-		// One record may be as long as all there is: the store's client gives up when
-		// nothing of the answer comes.
-		limit += wholeAtMost
+	if r.readFull != nil {
+		// One record may be as long as a full read; the store's client gives up when no data arrives.
+		limit += fullReadTimeout
 	}
 	ctx, cancel := boottime.WithTimeout(ctx, clock, limit)
 	defer cancel()
 	return r.read(ctx, next, wait)
 }
 
-// readWait is how long the store is to keep a read open, and how long the answer may
-// take beyond.
+// readWait returns how long the store may hold a read open, and how much longer the call may take.
 func (c *Controller) readWait() (wait, slack time.Duration) {
 	switch {
 	case c.leading.Load():
-		return c.pace.holderWait, readSlack
-	case c.doubted.Load():
-		return doubtWait, doubtSlack
+		return c.timing.holderWait, readSlack
+	case c.holderLostStore.Load():
+		return outageReadWait, outageReadSlack
 	}
-	return c.pace.ownWait, readSlack
+	return c.timing.ownWait, readSlack
 }
 
 func (c *Controller) pause(ctx context.Context, d time.Duration) {
@@ -249,53 +251,53 @@
 	}
 }
 
-// storeAway says that a reader got no answer of the store.
-type storeAway struct{ scout bool }
+// storeReadFailed reports that a reader got no answer from the store; leaseTopic is true for the reader of the lease.
+type storeReadFailed struct{ leaseTopic bool }
 
-func (m storeAway) handle(c *Controller) {
+func (m storeReadFailed) handle(c *Controller) {
 	now := c.o.Clock.Now()
 	c.outage.Failed(now)
 	c.directory.StoreAway(now)
-	if m.scout {
-		c.scoutFailedAt = now
-		c.dirty = c.dirty || c.doubted.Load()
+	if m.leaseTopic {
+		c.leaseReadFailedAt = now
+		c.dirty = c.dirty || c.holderLostStore.Load()
 	}
 }
 
-// storeBack says that the reader of the lease got an answer.
-type storeBack struct{}
+// leaseReadSucceeded reports that the reader of the lease got an answer.
+type leaseReadSucceeded struct{}
 
-func (storeBack) handle(c *Controller) {
-	// The holder should hear of it before it relies on the contrary.
-	c.dirty = c.dirty || !c.scoutFailedAt.IsZero()
-	c.scoutFailedAt = time.Time{}
+func (leaseReadSucceeded) handle(c *Controller) {
+	// Report it at once, before the lease holder acts on the earlier report that the store does not answer this node.
+	c.dirty = c.dirty || !c.leaseReadFailedAt.IsZero()
+	c.leaseReadFailedAt = time.Time{}
 }
 
-type configs struct {
+type configPage struct {
 	page  logstore.Page[logstore.Config]
 	whole bool
 	asked time.Time
 }
 
-func (m configs) handle(c *Controller) {
-	c.noteConfigRead(m)
-	if c.believeConfig(c.o.Clock.Now()) {
+func (m configPage) handle(c *Controller) {
+	c.recordConfigRead(m)
+	if c.mayApplyConfig(c.o.Clock.Now()) {
 		for _, r := range m.page.Records {
 			if r.Value.Table != nil {
 				c.configure(r.Value.Table)
 			}
 		}
 	}
-	c.evacuate(m.page, m.whole)
-	if c.showsNewest(m) {
+	c.applyEvacuationRecords(m.page, m.whole)
+	if c.confirmsNewest(m) {
 		c.confirmConfig(m.asked)
 	}
 	if m.page.Next >= m.page.End {
-		c.holder.configRead(c.o.Clock.Now())
+		c.published.configRead(c.o.Clock.Now())
 	}
 }
 
-// configure puts a configuration in force unless a newer one is.
+// configure puts a configuration in force unless its version is not newer than the one in force.
 func (c *Controller) configure(t *route.Table) {
 	if old := c.table.Load(); old != nil && old.Config.Version >= t.Config.Version {
 		return
@@ -305,59 +307,59 @@
 	c.touchAll()
 	c.listChanged(c.o.Clock.Now())
 	if c.held {
-		c.holder.showConfig(t.Config)
+		c.published.setConfig(t.Config)
 	}
 	c.o.Logger.Info("configuration in force", "version", t.Config.Version, "routes", len(t.Config.Routes), "services", len(t.Config.Services))
-	c.credits.forget(func(name string) bool { return t.Customer(name) != nil })
+	c.quotas.dropRemovedCustomers(func(name string) bool { return t.Customer(name) != nil })
 }
 
-type instances struct {
+type instancePage struct {
 	page  logstore.Page[logstore.Instance]
 	whole bool
 }
 
-func (m instances) handle(c *Controller) {
+func (m instancePage) handle(c *Controller) {
 	now := c.o.Clock.Now()
 	c.enterEra(position.Era(m.page.Next), now)
-	if m.whole && c.listed && !c.settled(now) {
-		// A copy: what is known here is newer. What is written again follows it.
-		c.holder.instancesRead(now)
+	if m.whole && c.listed && !c.rewriteGraceOver(now) {
+		// The store was restored from a backup, and this node's state is newer. What is written again is read later.
+		c.published.instancesRead(now)
 		return
 	}
-	news := &listNews{by: "store"}
+	news := &listChanges{source: "store"}
 	if m.whole {
 		list := make([]directory.Record, 0, len(m.page.Records))
 		for _, r := range m.page.Records {
-			list = append(list, c.placed(r))
+			list = append(list, c.directoryRecord(r))
 		}
-		c.directory.Replace(list, m.page.Next, now, news.note)
+		c.directory.Replace(list, m.page.Next, now, news.add)
 		c.listed = true
 	} else {
 		for _, r := range m.page.Records {
-			rec := c.placed(r)
+			rec := c.directoryRecord(r)
 			if change := c.directory.Apply(rec, now); change != directory.Unchanged {
-				news.note(rec, change)
+				news.add(rec, change)
 			}
 		}
 	}
 	c.listedTo = max(c.listedTo, m.page.Next)
-	c.noteList(news)
+	c.applyListChanges(news)
 	if m.whole || len(news.changes) > 0 {
 		c.listChanged(now)
 		if c.held {
-			// Before the age of the list is told: what is new must be in it.
-			c.showInstances(now)
+			// Before instancesRead: the published list must contain everything up to the time that it claims.
+			c.publishInstances(now)
 		}
 	}
-	c.holder.instancesRead(now)
+	c.published.instancesRead(now)
 }
 
-// placed returns a record of the list with its version. An entry that names this node itself
-// names no endpoint.
-func (c *Controller) placed(r logstore.Record[logstore.Instance]) directory.Record {
+// directoryRecord returns a record of the list with its version, which is the offset after it. An entry whose address
+// is one of this node's own counts as removed.
+func (c *Controller) directoryRecord(r logstore.Record[logstore.Instance]) directory.Record {
 	r.Value.Version = r.Offset + 1
 	if in := r.Value.Instance; in != nil && slices.Contains(c.o.Own, in.Address) {
-		c.passedOver("endpoints", []error{&logstore.Fault{
+		c.countSkipped("endpoints", []error{&logstore.Fault{
 			Reason: logstore.Unnamed, Field: "address", Cause: fmt.Errorf("entry of endpoint %.60q names this node, %s", r.Value.ID, in.Address),
 			Remedy: "only endpoints may write to the list: find what else does",
 		}})
@@ -366,9 +368,9 @@
 	return r.Value
 }
 
-// listNews are the changes of the list that one message brought.
-type listNews struct {
-	by      string
+// listChanges collects the changes of the list of endpoints that one message brought.
+type listChanges struct {
+	source  string
 	changes []listChange
 }
 
@@ -377,31 +379,31 @@
 	change directory.Change
 }
 
-// linesAtOnce is how many changes of the list get a line of the log each where one message brings them; more get one
-// line together, since each node writes it.
-const linesAtOnce = 16
+// maxListLogLines is up to how many changes of one message are logged on a line each. More are summarized on one
+// line, since every node of the fleet logs them.
+const maxListLogLines = 16
 
-// note takes one change in.
-func (n *listNews) note(r directory.Record, change directory.Change) {
+// add adds one change.
+func (n *listChanges) add(r directory.Record, change directory.Change) {
 	n.changes = append(n.changes, listChange{r, change})
 }
 
-// noteList has the changes of the list heeded and logged.
-func (c *Controller) noteList(n *listNews) {
+// applyListChanges marks the changed endpoints, informs the guard and logs the changes.
+func (c *Controller) applyListChanges(n *listChanges) {
 	gone := 0
 	for i := range n.changes {
 		r := &n.changes[i]
 		c.touch(r.ID)
-		c.noteEntry(r.Record)
+		c.updateGuard(r.Record)
 		if r.Instance == nil {
 			gone++
 		}
-		if len(n.changes) <= linesAtOnce {
+		if len(n.changes) <= maxListLogLines {
 			c.logEntry(r.Record, r.change)
 		}
 	}
-	if len(n.changes) > linesAtOnce {
-		c.o.Logger.Info("endpoints changed", "changed", len(n.changes), "gone", gone, "listedTo", position.Offset(c.listedTo), "by", n.by)
+	if len(n.changes) > maxListLogLines {
+		c.o.Logger.Info("endpoints changed", "changed", len(n.changes), "gone", gone, "listedTo", position.Offset(c.listedTo), "by", n.source)
 	}
 }
 
@@ -410,44 +412,45 @@
 	in := r.Instance
 	switch {
 	case in == nil:
-		c.o.Logger.Info("endpoint's entry gone", "endpoint", r.ID, "version", r.Version, "relayed", r.Relayed)
+		c.o.Logger.Info("endpoint entry removed", "endpoint", r.ID, "version", r.Version, "relayed", r.Relayed)
 	case change == directory.Holding:
-		c.o.Logger.Debug("engine holds others", "endpoint", r.ID, "models", len(in.Models), "version", r.Version)
+		c.o.Logger.Debug("units held by the engine changed", "endpoint", r.ID, "models", len(in.Models), "version", r.Version)
 	default:
 		c.o.Logger.Info("endpoint changed", "endpoint", r.ID, "born", int64(in.Start), "service", in.Service, "address", in.Address, "draining", in.Draining,
 			"remainingMs", in.Remaining.Milliseconds(), "version", r.Version, "relayed", r.Relayed)
 	}
 }
 
-type leases struct{ page logstore.Page[[]byte] }
+type leasePage struct{ page logstore.Page[[]byte] }
 
-func (m leases) handle(c *Controller) {
+func (m leasePage) handle(c *Controller) {
 	now := c.o.Clock.Now()
 	c.enterEra(position.Era(m.page.Next), now)
 	before, _ := c.lease.Holder()
 	for _, r := range m.page.Records {
 		var rec lease.Record
 		if err := json.Unmarshal(r.Value, &rec); err != nil {
-			c.o.Logger.Error("record passed over", "topic", "lease", "offset", r.Offset, "error", err.Error())
+			c.o.Logger.Error("record skipped", "topic", "lease", "offset", r.Offset, "error", err.Error())
 			continue
 		}
 		c.lease.Fold(r.Offset, rec, now)
 	}
 	c.lease.CaughtUp(m.page.Next, now)
-	c.leaseDoubt.Store(false)
+	c.leaseUncertain.Store(false)
 	if n := int64(c.lease.Members()); n > 0 {
-		// The patience of a node that has just begun follows the size that the last holder knew of.
+		// A node that has just started scales its waits to the fleet size recorded by the last lease holder.
 		c.feeding.nodes.CompareAndSwap(0, n)
 	}
-	c.followHolder(before, "store")
+	c.watchNewHolder(before, "store")
 }
 
-// followHolder follows the holder known by now, if it is another than before.
-func (c *Controller) followHolder(before lease.Record, by string) {
+// watchNewHolder switches to the current lease holder if it differs from before. by names the source of the record,
+// for the log.
+func (c *Controller) watchNewHolder(before lease.Record, by string) {
 	holder, fence := c.lease.Holder()
 	if holder.SameLife(before) {
 		return
 	}
-	c.o.Logger.Info("holder of the lease", "holder", holder.Holder, "address", holder.Address, "fence", fence, "by", by)
-	c.remote.follow(holder)
+	c.o.Logger.Info("lease holder changed", "holder", holder.Holder, "address", holder.Address, "fence", fence, "by", by)
+	c.holderState.follow(holder)
 }
--- a/internal/placer/putback_test.go
+++ b/internal/placer/restore_test.go
@@ -13,8 +13,9 @@
 	"olivetiller/core/route"
 )
 
-// configPage is what a read in an era brings: the store's newest version, 0 for nothing new.
-func configPage(t *testing.T, era uint64, version int64) logstore.Page[logstore.Config] {
+// pageInEra returns the page of a read in an era, with one configuration record of a version; 0 for a page without
+// records.
+func pageInEra(t *testing.T, era uint64, version int64) logstore.Page[logstore.Config] {
 	t.Helper()
 	end := position.Begin(era) + 5
 	page := logstore.Page[logstore.Config]{Next: end, End: end}
@@ -28,11 +29,11 @@
 	return page
 }
 
-// TestConfigAfterPutBack checks what a read of the configuration is taken for once the store
-// has come back from a copy. The operator may not have written the newest again: an older one
-// that the copy brought back must not come to life, and nothing is confirmed as the newest
-// before the operator has had the time, nor while the store's is older than ours.
-func TestConfigAfterPutBack(t *testing.T) {
+// TestConfigAfterRestore checks which configuration is in force after the store was restored from an older backup.
+// Until the operator has written the newest version again, an older one from the backup must not be put in force, and
+// nothing may be confirmed as the newest, neither before the operator has had the time nor while the store's version
+// is older than the one in force.
+func TestConfigAfterRestore(t *testing.T) {
 	type read struct {
 		after   time.Duration
 		era     uint64
@@ -41,20 +42,19 @@
 	tests := []struct {
 		name  string
 		reads []read
-		// inForce is the version at the end, and confirmed whether the last read showed that it
-		// is the newest.
+		// inForce is the final version, and confirmed is whether the last read showed that it is the newest.
 		inForce   int64
 		confirmed bool
 	}{
 		{"never put back", []read{{0, 0, 9}}, 9, true},
 		{"put back, not yet written again", []read{{0, 0, 9}, {time.Second, 1, 7}}, 9, false},
-		{"the store's stays older", []read{{0, 0, 9}, {time.Second, 1, 7}, {rewriteTime, 1, 0}}, 9, false},
+		{"the store's stays older", []read{{0, 0, 9}, {time.Second, 1, 7}, {rewriteGrace, 1, 0}}, 9, false},
 		{"written again at once", []read{{0, 0, 9}, {time.Second, 1, 9}}, 9, false},
-		{"written again, time over", []read{{0, 0, 9}, {time.Second, 1, 9}, {rewriteTime, 1, 0}}, 9, true},
-		{"a newer one", []read{{0, 0, 9}, {time.Second, 1, 7}, {rewriteTime, 1, 11}}, 11, true},
+		{"written again, time over", []read{{0, 0, 9}, {time.Second, 1, 9}, {rewriteGrace, 1, 0}}, 9, true},
+		{"a newer one", []read{{0, 0, 9}, {time.Second, 1, 7}, {rewriteGrace, 1, 11}}, 11, true},
 		{"a node that knows none", []read{{0, 3, 7}}, 0, false},
-		{"a node that knows none, time over", []read{{0, 3, 7}, {rewriteTime, 3, 9}}, 9, true},
-		{"twice in a row", []read{{0, 0, 9}, {time.Second, 1, 9}, {rewriteTime, 2, 9}}, 9, false},
+		{"a node that knows none, time over", []read{{0, 3, 7}, {rewriteGrace, 3, 9}}, 9, true},
+		{"twice in a row", []read{{0, 0, 9}, {time.Second, 1, 9}, {rewriteGrace, 2, 9}}, 9, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 			c := newController(clock)
 			for _, r := range tt.reads {
 				clock.Advance(r.after)
-				configs{configPage(t, r.era, r.version), false, clock.Now()}.handle(c)
+				configPage{pageInEra(t, r.era, r.version), false, clock.Now()}.handle(c)
 			}
 			version := int64(0)
 			if table := c.Table(); table != nil {
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestListAfterPutBack checks that a copy of the list does not undo what was known: an engine
-// that had drained stays so, and one that the copy lacks stays until its writer has had time.
-func TestListAfterPutBack(t *testing.T) {
+// TestListAfterRestore checks that a list from an older backup does not undo newer state: a drained engine stays
+// drained, and an engine that the backup lacks stays until its writer has had the time to write again.
+func TestListAfterRestore(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	c := newController(clock)
 	page := func(era uint64, ids ...string) logstore.Page[logstore.Instance] {
@@ -87,32 +87,31 @@
 		}
 		return p
 	}
-	instances{page(0, "a", "b"), true}.handle(c)
+	instancePage{page(0, "a", "b"), true}.handle(c)
 	c.directory.Drain("a")
 	clock.Advance(time.Second)
-	instances{page(1, "a"), true}.handle(c)
+	instancePage{page(1, "a"), true}.handle(c)
 	if diff := cmp.Diff([]string{"a", "b"}, live(c)); diff != "" {
 		t.Errorf("just after the return (-want +got):\n%s", diff)
 	}
 	if e := c.directory.Live(clock.Now())[0]; !e.Draining {
 		t.Error("the copy undid a drain")
 	}
-	clock.Advance(rewriteTime)
-	instances{page(1, "a"), true}.handle(c)
+	clock.Advance(rewriteGrace)
+	instancePage{page(1, "a"), true}.handle(c)
 	clock.Advance(time.Minute)
 	if diff := cmp.Diff([]string{"a"}, live(c)); diff != "" {
 		t.Errorf("once judged anew (-want +got):\n%s", diff)
 	}
 }
 
-// TestReaderEra checks when a reader notes that the store came back, and when it reads all
-// there is once more.
+// TestReaderEra checks when a reader detects a restored store, and when it performs another full read.
 func TestReaderEra(t *testing.T) {
 	now := clockwork.NewFakeClock().Now()
 	var e readerEra
 	got := []bool{
-		e.enter(position.Begin(0)+3, now), e.judge(now.Add(time.Hour)), e.enter(position.Begin(1), now), e.enter(position.Begin(1)+1, now),
-		e.judge(now), e.judge(now.Add(rewriteTime)), e.judge(now.Add(rewriteTime)),
+		e.enter(position.Begin(0)+3, now), e.rereadDue(now.Add(time.Hour)), e.enter(position.Begin(1), now), e.enter(position.Begin(1)+1, now),
+		e.rereadDue(now), e.rereadDue(now.Add(rewriteGrace)), e.rereadDue(now.Add(rewriteGrace)),
 	}
 	if diff := cmp.Diff([]bool{false, false, true, false, false, true, false}, got); diff != "" {
 		t.Errorf("steps (-want +got):\n%s", diff)
--- a/internal/placer/returned_test.go
+++ b/internal/placer/returned_test.go
@@ -10,8 +10,9 @@
 	"olivetiller/io/peer"
 )
 
-// TestReturnedEndpointIsRelayed guards against an endpoint that a node fed by a holder lacks for good: the node read itself
-// that the entry had gone, while the holder, which had lost the store, did not believe it until the entry was back.
+// TestReturnedEndpointIsRelayed guards against an endpoint that a follower never learns of again. The follower had
+// read itself that the entry was removed; the lease holder, which had lost the store, held the removal back until the
+// entry was written again, and so saw no change to relay.
 func TestReturnedEndpointIsRelayed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	entry := func(version uint64) directory.Record {
@@ -19,7 +20,7 @@
 	}
 	gone := directory.Record{ID: "i-0", Version: 2}
 	holder, follower := directory.New(), directory.New()
-	var b board
+	var b publication
 	b.init()
 	holder.Apply(entry(1), now)
 	b.begin("h-1", 1, 2, holder.Records(now), 1)
@@ -35,37 +36,37 @@
 	hear()
 	holder.StoreAway(now)
 	holder.Apply(gone, now)
-	b.showInstances(holder.Records(now), 2)
+	b.publishInstances(holder.Records(now), 2)
 	follower.Apply(gone, now)
 	hear()
 	holder.Apply(entry(3), now)
-	b.showInstances(holder.Records(now), 3)
+	b.publishInstances(holder.Records(now), 3)
 	hear()
 	if n := len(follower.Live(now)); n != 1 {
 		t.Errorf("the node knows %d endpoints, want the one that is back", n)
 	}
 }
 
-// TestVanishedBetweenTerms guards against endpoints that vanished while a process did not hold the lease, and are not told
-// as gone once it does again.
-func TestVanishedBetweenTerms(t *testing.T) {
+// TestRemovedBetweenTerms guards against endpoints that were removed while a process did not hold the lease, and that
+// followers keep because no snapshot of its next term reports the removal.
+func TestRemovedBetweenTerms(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	d := suspectNodes(clock, "h", "n")
+	d := newPeerControllers(clock, "h", "n")
 	h, n := d.nodes["h"], d.nodes["n"]
 	q := peer.Question{Node: "n"}
 	hear := func() {
-		s, _, ok := h.holder.snapshot(q, clock.Now())
+		s, _, ok := h.published.snapshot(q, clock.Now())
 		if !ok {
 			t.Fatal("it does not hold the lease")
 		}
-		n.feed(s, clock.Now(), heardFrom{s: s, made: clock.Now()})
+		n.applyRelayed(s, clock.Now(), snapshotReceived{s: s, madeAt: clock.Now()})
 		q.Life, q.Version = s.Life, s.Version
 	}
 	h.directory.Apply(directory.Record{ID: "i-0", Version: 1, Instance: &directory.Instance{ID: "i-0", Start: 1, Service: "s"}}, clock.Now())
 	h.listedTo = 1
 	h.beginTerm(1, clock.Now())
 	hear()
-	h.holder.end()
+	h.published.end()
 	h.directory.Apply(directory.Record{ID: "i-0", Version: 2}, clock.Now())
 	h.listedTo = 2
 	h.beginTerm(1, clock.Now())
--- a/internal/placer/signals.go
+++ b/internal/placer/signals.go
@@ -10,19 +10,21 @@
 	"olivetiller/io/peer"
 )
 
-// SignalsChanged has the others told of what endpoints say; it may be called from any goroutine.
+// SignalsChanged sends a change of the endpoints' signals, their reported capacity or draining, to the other nodes.
+// It may be called from any goroutine.
 func (c *Controller) SignalsChanged() {
 	c.WakeDemand()
-	c.showSignals()
+	c.publishSignals()
 }
 
-// showSignals wakes the nodes that wait for news of the holder, if there is some.
-func (c *Controller) showSignals() {
-	c.holder.setSignals(c.o.Dispatcher.SignalsVersion())
-	c.relay.wakeFed()
+// publishSignals wakes the followers that wait for a snapshot if the endpoints' signals have changed.
+func (c *Controller) publishSignals() {
+	c.published.setSignals(c.o.Dispatcher.SignalsVersion())
+	c.relay.wakeFollowers()
 }
 
-// limitEngines tells the planner how many requests a second engines take by their own word.
+// limitEngines sets the planner's limits on engines, in requests per second: the smaller one of the reported capacity
+// and the rate while cold.
 func (c *Controller) limitEngines() {
 	capacities := c.o.Dispatcher.Capacities()
 	c.planner.SetLimits(func(engine string, start directory.Start) float64 {
@@ -34,12 +36,13 @@
 	})
 }
 
-// drainLeaving has the list heed the endpoints that have said that they leave, those too that came onto it later.
-func (c *Controller) drainLeaving(now time.Time) {
+// applyDraining drains the list entries of the endpoints that have signalled that they are draining, including
+// entries that were added after the signal.
+func (c *Controller) applyDraining(now time.Time) {
 	changed := false
 	for _, l := range c.o.Dispatcher.LeavingEndpoints() {
 		if c.directory.DrainLife(l.Endpoint, directory.Start(l.Start)) {
-			c.o.Logger.Info("endpoint leaves by its own word", "endpoint", l.Endpoint, "born", l.Start)
+			c.o.Logger.Info("endpoint signalled that it is draining", "endpoint", l.Endpoint, "born", l.Start)
 			c.touch(l.Endpoint)
 			changed = true
 		}
@@ -49,15 +52,15 @@
 	}
 }
 
-// hearReport takes in what the answer to a question for a report says of the engine itself.
-func (c *Controller) hearReport(engine string, r *placement.Report, asked time.Time) {
+// applyReportedSignals applies the signals that an engine's report contains.
+func (c *Controller) applyReportedSignals(engine string, r *placement.Report, asked time.Time) {
 	ch := c.o.Dispatcher.Hear(view.Endpoint{Name: engine, Start: int64(r.Start)}, r.Said, asked)
 	if ch.News() {
-		c.noteSignal(&ch, "report")
+		c.logSignal(&ch, "report")
 	}
 }
 
-// mergeSignals takes in what another node heard of endpoints, and reports whether that was news.
+// mergeSignals merges endpoints' signals received from another node, and reports whether any was new.
 func (c *Controller) mergeSignals(told []peer.Signal, by string, now time.Time) bool {
 	if len(told) == 0 {
 		return false
@@ -68,30 +71,31 @@
 	}
 	changes := c.o.Dispatcher.MergeSignals(words)
 	for i := range changes {
-		c.noteSignal(&changes[i], by)
+		c.logSignal(&changes[i], by)
 	}
 	return len(changes) > 0
 }
 
-// noteSignal logs what another node, or a report, changed of what is believed of an endpoint.
-func (c *Controller) noteSignal(ch *signal.Change, by string) {
+// logSignal logs a change of an endpoint's signals that came with a report or from another node.
+func (c *Controller) logSignal(ch *signal.Change, by string) {
 	c.o.Logger.Info("endpoint says what it takes", append(ch.Fields(), "by", by)...)
 }
 
-// reportSignals adds what the holder is to be told, and returns the version to which it leads.
+// reportSignals adds the signals that the lease holder lacks to a report, and returns the version that they reach.
+// life is the lease holder's incarnation.
 func (c *Controller) reportSignals(r *peer.Report, life string, now time.Time) uint64 {
-	words, to := c.o.Dispatcher.SignalsSince(c.reported.of(life).signals)
+	words, to := c.o.Dispatcher.SignalsSince(c.reportAcked.of(life).signals)
 	r.Signals = peer.Signals(words, now)
 	return to
 }
 
-// allSignals returns all that is known of what endpoints say.
+// allSignals returns all endpoints' signals known here.
 func (c *Controller) allSignals(now time.Time) []peer.Signal {
 	words, _ := c.o.Dispatcher.SignalsSince(0)
 	return peer.Signals(words, now)
 }
 
-// addSignals adds what is new to the asker, and reports whether there is any.
+// addSignals adds the signals that are new to the requester, and reports whether there are any.
 func (c *Controller) addSignals(s *peer.Snapshot, q peer.Question, now time.Time) bool {
 	after := q.SignalsTo
 	if s.Whole {
--- a/internal/placer/signals_test.go
+++ b/internal/placer/signals_test.go
@@ -11,17 +11,18 @@
 	"olivetiller/io/peer"
 )
 
-// TestSignalsReachAllNodes checks that what one node hears of endpoints reaches the holder with its report and other
-// nodes with the holder's word, and nodes without a holder by what they tell each other; rest binds who was asked.
+// TestSignalsReachAllNodes checks that endpoints' signals received by one node reach the lease holder with its
+// report, other nodes with the holder's snapshots, and nodes without a lease holder through their exchange. A backoff
+// that an endpoint asked for applies only to the node that asked it.
 func TestSignalsReachAllNodes(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	d := suspectNodes(clock, "h", "n", "o", "p")
+	d := newPeerControllers(clock, "h", "n", "o", "p")
 	h, n, o, p := d.nodes["h"], d.nodes["n"], d.nodes["o"], d.nodes["p"]
 	life := signal.Life{Endpoint: "e1", Start: 1}
 	n.o.Dispatcher.Hear(endpointOf("e1"), signal.Said{Limit: 1.5, Leaving: true, Rest: 1e9}, clock.Now())
 	r := &peer.Report{Node: "n"}
 	n.reportSignals(r, "h-1", clock.Now())
-	h.holder.begin("h-1", 1, 1, nil, 0)
+	h.published.begin("h-1", 1, 1, nil, 0)
 	if err := h.Reported(r); err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +31,7 @@
 		t.Error("nothing to tell")
 	}
 	o.mergeSignals(s.Signals, "holder", clock.Now())
-	p.exchangeWith(t.Context(), "n", exchanged{})
+	p.exchangeWith(t.Context(), "n", exchangeMark{})
 	want := []signal.Life{life}
 	for name, c := range d.nodes {
 		if diff := cmp.Diff(want, c.o.Dispatcher.LeavingEndpoints()); diff != "" {
@@ -45,15 +46,15 @@
 	}
 }
 
-// TestListHeedsLeaving checks that an endpoint which said that it leaves before it came onto the list is drained once it
-// is there, and its next life is not.
-func TestListHeedsLeaving(t *testing.T) {
+// TestEntryAfterDrainingSignal checks that an endpoint that signalled draining before its entry was added is drained
+// once the entry is there, and that its next incarnation is not.
+func TestEntryAfterDrainingSignal(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	c := suspectNodes(clock, "n").nodes["n"]
+	c := newPeerControllers(clock, "n").nodes["n"]
 	c.o.Dispatcher.Hear(endpointOf("e1"), signal.Said{Leaving: true, Ran: true}, clock.Now())
 	draining := func(start directory.Start, version uint64) bool {
 		c.directory.Apply(directory.Record{ID: "e1", Version: version, Instance: &directory.Instance{ID: "e1", Start: start, Service: "s"}}, clock.Now())
-		c.drainLeaving(clock.Now())
+		c.applyDraining(clock.Now())
 		return c.directory.Live(clock.Now())[0].Draining
 	}
 	if !draining(1, 1) || !draining(1, 2) {
--- a/internal/placer/passedover.go
+++ b/internal/placer/skipped.go
@@ -8,17 +8,16 @@
 	"olivetiller/core/logstore"
 )
 
-// mostFaultLines bounds the lines on one page of records: another writer may write as often
-// as it likes.
-const mostFaultLines = 3
+// maxFaultLogLines bounds the log lines per page of records: a foreign writer may write bad records at any rate.
+const maxFaultLogLines = 3
 
-// faults counts the records passed over, by reason. It is safe for concurrent use.
+// faults counts the records that were skipped, by reason. It is safe for concurrent use.
 type faults struct {
 	mu     sync.Mutex
 	counts map[logstore.Reason]int
 }
 
-// add counts a record.
+// add counts one record.
 func (f *faults) add(r logstore.Reason) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -28,15 +27,15 @@
 	f.counts[r]++
 }
 
-// all returns the counts.
+// all returns a copy of the counts.
 func (f *faults) all() map[logstore.Reason]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.counts)
 }
 
-// passedOver counts the damaged records of a page and logs the first of them.
-func (c *Controller) passedOver(topic string, damaged []error) {
+// countSkipped counts the damaged records of a page and logs the first of them.
+func (c *Controller) countSkipped(topic string, damaged []error) {
 	for i, err := range damaged {
 		reason := logstore.Unreadable
 		var fault *logstore.Fault
@@ -44,8 +43,8 @@
 			reason = fault.Reason
 		}
 		c.faults.add(reason)
-		if i < mostFaultLines {
-			c.o.Logger.Error("record passed over", "topic", topic, "reason", string(reason), "error", err.Error(), "ofThePage", len(damaged))
+		if i < maxFaultLogLines {
+			c.o.Logger.Error("record skipped", "topic", topic, "reason", string(reason), "error", err.Error(), "ofThePage", len(damaged))
 		}
 	}
 }
