--- /dev/null
+++ b/internal/placer/storestate.go
@@ -0,0 +1,115 @@
+package placer
+
+import (
+	"slices"
+	"time"
+
+	"olivetiller/core/directory"
+	"olivetiller/core/lease"
+	"olivetiller/core/route"
+	"olivetiller/io/peer"
+)
+
+// storeState is the part of a publication that originates in the store.
+type storeState struct {
+	config    *route.Config
+	instances map[string]instanceEntry
+	// configAt and instancesAt are when the topics were last read to their end.
+	configAt, instancesAt time.Time
+	// listedTo is the version up to which the list of endpoints was read.
+	listedTo    uint64
+	lease       lease.Record
+	leaseOffset uint64
+	// takers are the nodes named in the lease record, which may take the lease over, and takersVersion is the version
+	// at which they changed.
+	takers        []string
+	takersVersion uint64
+	// evacuations are the data halls that are being evacuated; nil before any were read.
+	evacuations        *peer.Evacuations
+	evacuationsVersion uint64
+}
+
+// instanceEntry is one endpoint's entry, and the version at which it changed.
+type instanceEntry struct {
+	record  directory.Record
+	version uint64
+}
+
+// publishInstances publishes the live endpoints of the list as read up to a version.
+func (b *publication) publishInstances(records []directory.Record, listedTo uint64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.incarnation == "" {
+		// begin publishes the full list when the term begins.
+		return
+	}
+	b.setInstances(records, listedTo)
+}
+
+func (b *publication) setInstances(records []directory.Record, listedTo uint64) {
+	next, news := b.version+1, false
+	b.feed.listedTo = max(b.feed.listedTo, listedTo)
+	live := make(map[string]bool, len(records))
+	for _, r := range records {
+		live[r.ID] = true
+		old, ok := b.feed.instances[r.ID]
+		if !ok || old.record.Instance == nil || old.record.Since != r.Since || !directory.SamePlace(old.record.Instance, r.Instance) ||
+			coldChanged(old.record.Instance.Cold, r.Instance.Cold) {
+			b.feed.instances[r.ID] = instanceEntry{r, next}
+			news = true
+			continue
+		}
+		// A heartbeat alone needs no delta. The record is stored so that full snapshots contain its latest time.
+		b.feed.instances[r.ID] = instanceEntry{r, old.version}
+	}
+	for id, in := range b.feed.instances {
+		if !live[id] && in.record.Instance != nil {
+			b.feed.instances[id] = instanceEntry{directory.Record{ID: id, Version: listedTo, Relayed: true}, next}
+			news = true
+		}
+	}
+	if news {
+		b.wakeAll()
+	}
+}
+
+// coldChanged reports whether an endpoint's entry must be sent again because it has turned cold or warm. An expected
+// warm-up needs no update: each node counts the cold time down itself.
+func coldChanged(old, next time.Duration) bool {
+	return next > old+coldSlack || next == 0 && old > coldSlack
+}
+
+// coldSlack is by how much an endpoint's remaining cold time must grow to be published again.
+const coldSlack = 1500 * time.Millisecond
+
+// setConfig publishes the configuration in force.
+func (b *publication) setConfig(c *route.Config) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.feed.config = c
+	b.wakeAll()
+}
+
+// configRead records that the configuration topic was read to its end.
+func (b *publication) configRead(now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.feed.configAt = now
+}
+
+func (b *publication) instancesRead(now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.feed.instancesAt = now
+}
+
+// setLease publishes the latest lease record.
+func (b *publication) setLease(rec lease.Record, offset uint64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.feed.lease, b.feed.leaseOffset = rec, offset
+	if !slices.Equal(rec.Nodes, b.feed.takers) {
+		b.wake(nil)
+		b.feed.takers, b.feed.takersVersion = rec.Nodes, b.version
+	}
+}
--- a/internal/placer/succession.go
+++ b/internal/placer/succession.go
@@ -6,28 +6,28 @@
 	"olivetiller/core/lease"
 )
 
-// follower is a node that reports to the holder.
+// follower is a node that reports to this lease holder.
 type follower struct {
-	heardAt  time.Time
-	strength float64
-	// storeAway is true where the node gets no answer of the store.
-	storeAway bool
+	reportedAt time.Time
+	strength   float64
+	// storeUnavailable is true if the store does not answer the node.
+	storeUnavailable bool
 	// hall is the node's data hall.
 	hall string
-	// address is where the node answers others; "" where it does not tell.
+	// address is where other nodes can reach the node; "" if it does not state one.
 	address string
 }
 
-// successorLead is how much longer than the node that the holder named the others
-// wait before they take over. Nodes hear of renewals through the holder, up to half a
-// second apart; the lead is longer, so that the strongest takes over if it lives.
-const successorLead = 800 * time.Millisecond
+// nonSuccessorDelay is how much longer than the named successor the other nodes wait before they take the lease.
+// Nodes learn of renewals through the lease holder at times that differ by up to 0.5 s; the delay is longer, so that
+// the strongest node takes over if it is alive.
+const nonSuccessorDelay = 800 * time.Millisecond
 
-// successor returns the strongest node that was heard lately; "" if there is none.
+// successor returns the strongest of the nodes that reported within [lease.FollowFresh]; "" if there is none.
 func (c *Controller) successor(now time.Time) string {
 	name := ""
 	for n, f := range c.nodes {
-		if now.Sub(f.heardAt) > lease.FollowFresh {
+		if now.Sub(f.reportedAt) > lease.FollowFresh {
 			continue
 		}
 		if best := c.nodes[name]; name == "" || f.strength > best.strength || f.strength == best.strength && n < name {
@@ -37,15 +37,15 @@
 	return name
 }
 
-// succeed sets how long this node waits before it takes over, now that the holder
-// has named a successor.
-func (c *Controller) succeed(successor string) {
+// setTakeoverDelay sets how long this node waits before it takes a free lease, given the successor that the lease
+// holder has named.
+func (c *Controller) setTakeoverDelay(successor string) {
 	switch successor {
 	case "":
 		c.lease.Succession(false, c.o.TakeoverDelay)
 	case c.o.Self.Holder:
 		c.lease.Succession(true, 0)
 	default:
-		c.lease.Succession(false, c.o.TakeoverDelay+successorLead)
+		c.lease.Succession(false, c.o.TakeoverDelay+nonSuccessorDelay)
 	}
 }
--- /dev/null
+++ b/internal/placer/timing.go
@@ -0,0 +1,50 @@
+package placer
+
+import "time"
+
+// timing holds the intervals and timeouts derived from the bound, the time within which the platform requires a
+// changed configuration or a draining endpoint to take effect. The fractions of the bound were chosen such that a
+// bound of two seconds, that of the first deployments, held over some 800 days.
+type timing struct {
+	// holderWait is how long the store holds a read of the lease holder open, and ownWait that of a node that reads
+	// for itself. holderWait is short, so that the relayed state is known to be fresh. Both bound how long a reader
+	// receives nothing after its connection has failed silently.
+	holderWait, ownWait time.Duration
+	// instancesEvery is the least time between two reads of the list of endpoints by the lease holder, and
+	// ownInstancesEvery by a node that reads for itself. Engines rewrite their entries all the time, and the list is
+	// behind by more than these intervals anyway.
+	instancesEvery, ownInstancesEvery time.Duration
+	// watchWait is how long a question of a follower is held open.
+	watchWait time.Duration
+	// relayTTL is how old relayed store state may be before a node reads the store itself: more than the lease
+	// holder's reads and the delays of its answers add up to, and less than the bound by the duration of a read.
+	relayTTL time.Duration
+	// maxRetryPause is the longest pause after a failed read.
+	maxRetryPause time.Duration
+	// silenceTimeout is how long a full read may receive no data at first. A node whose relayed state is outdated
+	// receives no changes meanwhile, so that the sum of relayTTL and silenceTimeout must be within the bound. The
+	// timeout doubles with each failure up to maxSilenceTimeout, for slow stores.
+	silenceTimeout, maxSilenceTimeout time.Duration
+}
+
+const (
+	// defaultBound is used if the platform states none.
+	defaultBound = 2 * time.Second
+	// minBound and maxBound limit the bound: with a shorter one the store's rate limits would not suffice, with a
+	// longer one failures would go unnoticed.
+	minBound = 500 * time.Millisecond
+	maxBound = 4 * time.Second
+)
+
+// timingFor returns the intervals and timeouts for a bound; 0 or less selects defaultBound.
+func timingFor(bound time.Duration) timing {
+	if bound <= 0 {
+		bound = defaultBound
+	}
+	bound = max(minBound, min(maxBound, bound))
+	return timing{
+		holderWait: bound / 8, ownWait: bound / 4, instancesEvery: bound * 3 / 20, ownInstancesEvery: bound * 3 / 10,
+		watchWait: bound / 4, relayTTL: bound * 13 / 20, maxRetryPause: bound / 2,
+		silenceTimeout: bound / 5, maxSilenceTimeout: bound,
+	}
+}
--- a/internal/placer/watch.go
+++ b/internal/placer/watch.go
@@ -8,16 +8,16 @@
 	"olivetiller/io/peer"
 )
 
-// watcher is one node's question while it is kept open.
+// watcher is an open long poll of one node.
 type watcher struct {
 	node string
-	// due is set once news of any kind ends the wait.
+	// due is set once any news, urgent or not, ends the wait.
 	due bool
-	// news holds at most one sign that there is something to tell.
+	// news has capacity 1 and holds a token while there is something to send.
 	news chan struct{}
 }
 
-// wakeUp tells the watcher that there is something to tell.
+// wakeUp signals the watcher without blocking.
 func (w *watcher) wakeUp() {
 	select {
 	case w.news <- struct{}{}:
@@ -25,14 +25,14 @@
 	}
 }
 
-// wakeAll makes a new version that every node should hear of at once.
-func (b *board) wakeAll() {
+// wakeAll starts a new version that every node should receive at once. The caller holds b.mu.
+func (b *publication) wakeAll() {
 	b.version++
 	b.wakeWatchers()
 }
 
-// wakeDue wakes the nodes that are due for any news.
-func (b *board) wakeDue() {
+// wakeDue wakes the watchers that are due for any news. The caller holds b.mu.
+func (b *publication) wakeDue() {
 	for w := range b.watchers {
 		if w.due {
 			w.wakeUp()
@@ -40,16 +40,16 @@
 	}
 }
 
-// wakeWatchers wakes all nodes.
-func (b *board) wakeWatchers() {
+// wakeWatchers wakes all watchers. The caller holds b.mu.
+func (b *publication) wakeWatchers() {
 	for w := range b.watchers {
 		w.wakeUp()
 	}
 }
 
-// wake makes a new version that the nodes should hear of at once whose requests
-// wait for one of the pools, and the others when they are due.
-func (b *board) wake(pools map[string]bool) {
+// wake starts a new version, which the nodes with requests waiting for one of the pools should receive at once and
+// the others when they are due. The caller holds b.mu.
+func (b *publication) wake(pools map[string]bool) {
 	b.version++
 	for w := range b.watchers {
 		if w.due || intersect(b.interest[w.node], pools) {
@@ -70,8 +70,8 @@
 	return false
 }
 
-// open keeps a node's question open until close.
-func (b *board) open(node string) *watcher {
+// open registers a long poll of a node, until close.
+func (b *publication) open(node string) *watcher {
 	w := &watcher{node: node, news: make(chan struct{}, 1)}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,32 +79,31 @@
 	return w
 }
 
-func (b *board) close(w *watcher) {
+func (b *publication) close(w *watcher) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.watchers, w)
 }
 
-// lazy marks a watcher as due for any news, and reports whether there is some
-// since a version.
-func (b *board) lazy(w *watcher, since uint64) bool {
+// markDue marks a watcher as due for any news, and reports whether there is some since a version.
+func (b *publication) markDue(w *watcher, since uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w.due = true
 	return b.version > since
 }
 
-// snapshot returns what changed since the snapshot that a node has; ok is false
-// when this node is no holder. urgent is true when the node should hear at once:
-// of what its requests wait for, of a configuration, or of endpoints that come
-// and go.
-func (b *board) snapshot(q peer.Question, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
+// snapshot returns what has changed since the version in q, or everything if q has another incarnation or too old a
+// version. ok is false if nothing is published. urgent is true if the node should receive the snapshot at once: it
+// concerns a pool that its requests wait for, or changes the configuration, evacuations, feed plan or list of
+// endpoints.
+func (b *publication) snapshot(q peer.Question, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.life == "" {
+	if b.incarnation == "" {
 		return nil, false, false
 	}
-	s = &peer.Snapshot{Life: b.life, Fence: b.fence, Version: b.version, Nodes: b.nodes, Successor: b.successor, StoreDoubt: b.storeDoubt, Whole: q.Life != b.life || q.Version < b.completeFrom}
+	s = &peer.Snapshot{Life: b.incarnation, Fence: b.fence, Version: b.version, Nodes: b.nodes, Successor: b.successor, StoreDoubt: b.holderLostStore, Whole: q.Life != b.incarnation || q.Version < b.deltasFrom}
 	after := q.Version
 	if s.Whole {
 		after = 0
@@ -116,20 +115,20 @@
 		s.Feeders = append([]feedtree.Node{}, b.feeders...)
 		urgent = true
 	}
-	if !b.heardAt.IsZero() {
-		s.HolderMs = max(0, now.Sub(b.heardAt)).Milliseconds()
+	if !b.holderSeenAt.IsZero() {
+		s.HolderMs = max(0, now.Sub(b.holderSeenAt)).Milliseconds()
 	}
 	if s.Whole {
-		b.wholeAt(now).fill(s)
+		b.fullSnapshotAt(now).fill(s)
 	}
 	urgent = b.addServing(s, after, b.interest[q.Node], now) || urgent
 	urgent = b.addFeed(s, q, after, now) || urgent || s.Whole
 	return s, urgent, true
 }
 
-// addServing adds what the engines serve, and reports whether a pool of interest
-// is concerned.
-func (b *board) addServing(s *peer.Snapshot, after uint64, interest map[string]bool, now time.Time) (urgent bool) {
+// addServing adds what the engines serve and when units are expected, and reports whether that concerns a pool of
+// interest.
+func (b *publication) addServing(s *peer.Snapshot, after uint64, interest map[string]bool, now time.Time) (urgent bool) {
 	if !s.Whole {
 		urgent = b.addChanged(s, after, interest)
 	}
@@ -141,8 +140,9 @@
 	return urgent
 }
 
-// addChanged adds the engines that changed, and reports whether a pool of interest is concerned.
-func (b *board) addChanged(s *peer.Snapshot, after uint64, interest map[string]bool) (urgent bool) {
+// addChanged adds the engines that changed or were removed after a version, and reports whether a pool of interest is
+// concerned.
+func (b *publication) addChanged(s *peer.Snapshot, after uint64, interest map[string]bool) (urgent bool) {
 	s.Serving = make(map[string][]string)
 	for id, sh := range b.serving {
 		if sh.version <= after {
@@ -153,7 +153,7 @@
 			urgent = urgent || interest[pool]
 		}
 	}
-	for id, v := range b.goneAt {
+	for id, v := range b.removedAt {
 		if v > after {
 			s.Gone = append(s.Gone, id)
 		}
@@ -161,11 +161,11 @@
 	return urgent
 }
 
-// addFeed adds what was read of the store, and reports whether it is news.
-func (b *board) addFeed(s *peer.Snapshot, q peer.Question, after uint64, now time.Time) (urgent bool) {
+// addFeed adds the state read from the store, and reports whether any of it is urgent.
+func (b *publication) addFeed(s *peer.Snapshot, q peer.Question, after uint64, now time.Time) (urgent bool) {
 	f := &b.feed
 	s.Lease, s.LeaseOffset = f.lease, f.leaseOffset
-	// The names, 2 KB for 77 nodes, go out when they change.
+	// The list of nodes, 2 KB for 77 nodes, is sent separately and only when it changes.
 	s.Lease.Nodes = nil
 	if f.takersVersion > after {
 		s.Takers = f.takers
@@ -179,7 +179,7 @@
 		urgent = true
 	}
 	if s.Whole {
-		s.AgeMs = max(now.Sub(f.configAt), now.Sub(b.whole.instancesAt)).Milliseconds()
+		s.AgeMs = max(now.Sub(f.configAt), now.Sub(b.full.instancesAt)).Milliseconds()
 		return true
 	}
 	s.AgeMs, s.ListedTo = max(now.Sub(f.configAt), now.Sub(f.instancesAt)).Milliseconds(), f.listedTo
@@ -192,39 +192,39 @@
 	return urgent
 }
 
-// News that is not urgent for a node may wait, so that many changes cost one
-// message: lazyPush, and lazyPushPerNode for each node that it feeds, so
-// that its work stays bounded.
+// Changes that are not urgent for a node are batched into one message after lazyPush, plus lazyPushPerNode for each
+// open question, so that the work of sending stays bounded.
 const (
 	lazyPush        = 100 * time.Millisecond
 	lazyPushPerNode = 4 * time.Millisecond
 )
 
-// snapshot returns what the board shows, with the age of the configuration. The age is
-// taken first: what is confirmed meanwhile may go with a newer one than the board's.
-func (c *Controller) snapshot(b *board, q peer.Question, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
+// snapshot returns a snapshot of b together with the age of the configuration. The age is determined first: a
+// confirmation in between may be for a newer configuration than the one in b.
+func (c *Controller) snapshot(b *publication, q peer.Question, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
 	age, known := c.configAge(now)
 	s, urgent, ok = b.snapshot(q, now)
 	if ok && known {
-		// Rounded up: a key lives no longer for it.
+		// Rounded up, so that a removed key is not accepted any longer because of it.
 		ms := age.Milliseconds() + 1
 		s.ConfigAgeMs = &ms
 	}
 	return s, urgent, ok
 }
 
-// Watch implements peer.Holder: a holder's answer, or a feeder's, that has the holder's word and says how old it is.
+// Watch implements [peer.Holder]: it answers as the lease holder, or as a feeder if q.Feeder is set. The snapshot
+// states how old the lease holder's state is.
 func (c *Controller) Watch(ctx context.Context, q peer.Question) (*peer.Snapshot, error) {
 	if q.Feeder && !c.leading.Load() {
 		return c.watchFeeder(ctx, q)
 	}
-	// Who takes the holder for a feeder knows an older plan.
+	// The requester took the lease holder for a feeder, and so has an outdated plan.
 	q.Orphan = q.Orphan || q.Feeder
-	if shown, opening := c.holder.answers(); !shown && !opening {
+	if shown, opening := c.published.status(); !shown && !opening {
 		return nil, peer.ErrNotHolder
 	}
-	w := c.holder.open(q.Node)
-	defer c.holder.close(w)
+	w := c.published.open(q.Node)
+	defer c.published.close(w)
 	a, err := c.awaitPlan(ctx, w, &q)
 	switch {
 	case err != nil:
@@ -232,12 +232,13 @@
 	case a == waitForPlan:
 		return &peer.Snapshot{Redirect: true}, nil
 	case a == redirect:
-		return c.holder.redirected(), nil
+		return c.published.redirectAnswer(), nil
 	}
-	return c.answer(ctx, &c.holder, w, q)
+	return c.answer(ctx, &c.published, w, q)
 }
 
-// watchFeeder answers a question to this node as a feeder. One that comes before this node is fed itself waits.
+// watchFeeder answers a question to this node as a feeder. A question that comes before this node has fresh state
+// itself waits for it.
 func (c *Controller) watchFeeder(ctx context.Context, q peer.Question) (*peer.Snapshot, error) {
 	b := &c.relay
 	timeout := c.o.Clock.After(q.Wait)
@@ -252,31 +253,32 @@
 	}
 	w := b.open(q.Node)
 	defer b.close(w)
-	if b.asked() > feedsAtMost {
+	if b.openQuestions() > maxFollowers {
 		return nil, peer.ErrNotHolder
 	}
 	return c.answer(ctx, b, w, q)
 }
 
-// feedsAtMost bounds the questions that a feeder keeps open: beyond, nodes find another one.
-const feedsAtMost = 4 * feedtree.FanOut
+// maxFollowers bounds the open questions of a feeder; nodes beyond it ask another feeder.
+const maxFollowers = 4 * feedtree.FanOut
 
-// asked counts the questions that are kept open.
-func (b *board) asked() int {
+// openQuestions returns the number of open long polls.
+func (b *publication) openQuestions() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.watchers)
 }
 
-// fresh reports whether the board shows the word of a holder that is heard of.
-func (b *board) fresh(now time.Time) bool {
+// fresh reports whether this feeder's publication holds state that the lease holder sent within holderTTL.
+func (b *publication) fresh(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.life != "" && now.Sub(b.heardAt) <= holderFresh
+	return b.incarnation != "" && now.Sub(b.holderSeenAt) <= holderTTL
 }
 
-// answer answers a question by what a board shows, at once or when there is news.
-func (c *Controller) answer(ctx context.Context, b *board, w *watcher, q peer.Question) (*peer.Snapshot, error) {
+// answer answers a question from a publication: at once if there is urgent news, otherwise when there is news or
+// q.Wait is over.
+func (c *Controller) answer(ctx context.Context, b *publication, w *watcher, q peer.Question) (*peer.Snapshot, error) {
 	asked := c.o.Clock.Now()
 	s, urgent, ok := c.snapshot(b, q, asked)
 	if !ok {
@@ -288,13 +290,13 @@
 		return s, nil
 	}
 	timeout := c.o.Clock.After(q.Wait)
-	lazy := c.o.Clock.After(min(q.Wait, lazyPush+time.Duration(b.asked())*lazyPushPerNode))
+	lazy := c.o.Clock.After(min(q.Wait, lazyPush+time.Duration(b.openQuestions())*lazyPushPerNode))
 	for waiting := true; waiting; {
 		select {
 		case <-w.news:
 			waiting = false
 		case <-lazy:
-			waiting = !b.lazy(w, q.Version)
+			waiting = !b.markDue(w, q.Version)
 		case <-timeout:
 			waiting = false
 		case <-ctx.Done():
