--- a/internal/placer/controller.go
+++ b/internal/placer/controller.go
@@ -25,9 +25,11 @@
 	"olivetiller/io/peer"
 )
 
-// Store is the platform's log store. Read methods return one page of a topic: Lease, Configs, Instances and Verdicts
-// read from a position and wait up to wait for records; the Newest methods read the latest record of every key and
-// fail after a silence without data. Errors that a reader handles are of type [logstore.Error].
+// Store is the platform's log store. Lease, Configs, Instances and Verdicts return the page of a topic that begins at
+// a position, and wait up to wait for a first record. The Newest methods return the latest record of every key, and
+// fail if no data arrives for the duration silence. Append writes a lease record if the lease topic ends at the
+// offset at, and KeepVerdict writes a verdict on a quarantined request. Reads that fail because of the position
+// return a [logstore.Error].
 type Store interface {
 	Append(ctx context.Context, at uint64, record []byte) (offset uint64, err error)
 	Lease(ctx context.Context, from uint64, wait time.Duration) (logstore.Page[[]byte], error)
@@ -141,9 +143,9 @@
 	// latestLease is the latest lease record known here; nil if there is none.
 	latestLease atomic.Pointer[peer.LeaseMark]
 	lookup      peerList
-	// leading is set while this node holds the lease. leaseUncertain is set until the lease topic was read, after one
-	// of this node's appends failed, and after the store was restored. The lease reader is idle while leading is set
-	// and leaseUncertain is not: a holder knows the topic's end from its own appends.
+	// leading is set while this node holds the lease. leaseUncertain is set until the lease topic was read, and again
+	// after a failed append, a handover or a restore of the store. The lease reader is idle while leading is set and
+	// leaseUncertain is not, since a holder knows the end of the topic from its own appends.
 	leading, leaseUncertain atomic.Bool
 	// storeHealth tracks whether the store answers reads of and appends to the lease topic.
 	storeHealth storeHealth
@@ -221,7 +223,7 @@
 	suspects    suspects
 	reportAcked reportMark
 	halls       hallState
-	turns       turns
+	runLocks    runLocks
 }
 
 type missKey struct{ engine, pool string }
@@ -238,7 +240,7 @@
 	c.relay.init()
 	c.quotas.init(o.Self.Life, o.Tolerance)
 	c.suspects.init(&c.o)
-	c.turns.byRequest = quarantine.NewTurns()
+	c.runLocks.locks = quarantine.NewTurns()
 	c.leaseUncertain.Store(true)
 	c.allowance = retry.NewAllowance(o.Retries)
 	c.limitRetries(o.Clock.Now())
@@ -322,14 +324,14 @@
 
 // dropExpired updates the endpoints whose entries have expired from the directory since the last check.
 func (c *Controller) dropExpired(now time.Time) {
-	lapsed := false
+	expired := false
 	for _, id := range c.directory.Leaving() {
 		if c.index.has(id) && c.directory.Find(id, now) == nil {
 			c.touch(id)
-			lapsed = true
+			expired = true
 		}
 	}
-	if lapsed {
+	if expired {
 		c.listChanged(now)
 	}
 }
@@ -436,8 +438,9 @@
 // renewing, so that another node takes over.
 const listTimeout = 3 * time.Second
 
-// listTimedOut reports whether this node holds the lease and could not read the list of endpoints in time, or did so
-// within the last two lease periods.
+// listTimedOut reports whether this node, which has held the lease, could not read the list of endpoints within
+// listTimeout. It is true for two lease periods, during which the node neither renews nor takes the lease, so that
+// another node can take it.
 func (c *Controller) listTimedOut(now time.Time) bool {
 	if c.listed || c.heldSince.IsZero() {
 		return false
--- a/internal/placer/feeding.go
+++ b/internal/placer/feeding.go
@@ -32,8 +32,8 @@
 	// redirectPause is the pause of a node whose feeders do not answer and which the lease holder has redirected to
 	// them.
 	redirectPause = 500 * time.Millisecond
-	// emptyPause is the pause after a redirect that came at once.
-	emptyPause = 50 * time.Millisecond
+	// quickRedirectPause is the pause after a redirect that came at once.
+	quickRedirectPause = 50 * time.Millisecond
 )
 
 // feedState is what this node knows of the feed tree. The watcher and the readers use its atomic fields.
@@ -152,7 +152,7 @@
 	return !c.o.Fenced || c.feeding.nodes.Load() <= feedtree.FanOut
 }
 
-// admission is the lease holder's decision on a question.
+// admission is the lease holder's decision on a question, a follower's long poll for a snapshot.
 type admission uint8
 
 const (
@@ -173,28 +173,28 @@
 }
 
 // admit decides on a question to the lease holder and records the requester.
-func (b *publication) admit(q *peer.Question, now time.Time) admission {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.requesters[q.Node] = requester{feedtree.Node{Name: q.Node, Address: q.Address, Hall: q.Hall, Strength: q.Strength}, now, q.Orphan}
+func (p *publication) admit(q *peer.Question, now time.Time) admission {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.requesters[q.Node] = requester{feedtree.Node{Name: q.Node, Address: q.Address, Hall: q.Hall, Strength: q.Strength}, now, q.Orphan}
 	switch {
-	case b.incarnation == "", now.Before(b.collectUntil):
+	case p.incarnation == "", now.Before(p.collectUntil):
 		return waitForPlan
-	case len(b.feeders) == 0 && len(b.requesters) > feedtree.FanOut && !b.planned:
+	case len(p.feeders) == 0 && len(p.requesters) > feedtree.FanOut && !p.planned:
 		return waitForPlan
-	case len(b.feeders) == 0, feedtree.IsFeeder(b.feeders, q.Node):
+	case len(p.feeders) == 0, feedtree.IsFeeder(p.feeders, q.Node):
 		return serveDirectly
-	case q.Orphan && b.directFollowers(now) <= maxDirectFollowers:
+	case q.Orphan && p.directFollowers(now) <= maxDirectFollowers:
 		return serveDirectly
 	}
 	return redirect
 }
 
 // directFollowers counts the recent requesters without a feeder, which the lease holder serves directly. The caller
-// holds b.mu.
-func (b *publication) directFollowers(now time.Time) int {
+// holds p.mu.
+func (p *publication) directFollowers(now time.Time) int {
 	n := 0
-	for _, a := range b.requesters {
+	for _, a := range p.requesters {
 		if a.noFeeder && now.Sub(a.at) <= requesterTTL {
 			n++
 		}
@@ -203,13 +203,13 @@
 }
 
 // recentRequesters returns the nodes that asked within requesterTTL, by name, and drops the others.
-func (b *publication) recentRequesters(now time.Time) map[string]feedtree.Node {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make(map[string]feedtree.Node, len(b.requesters))
-	for name, a := range b.requesters {
+func (p *publication) recentRequesters(now time.Time) map[string]feedtree.Node {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	out := make(map[string]feedtree.Node, len(p.requesters))
+	for name, a := range p.requesters {
 		if now.Sub(a.at) > requesterTTL {
-			delete(b.requesters, name)
+			delete(p.requesters, name)
 			continue
 		}
 		out[name] = a.node
@@ -219,55 +219,55 @@
 
 // mayPlan reports whether the lease holder may plan the feed tree: its term is published and the collection of
 // questions is over.
-func (b *publication) mayPlan(now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.incarnation != "" && !now.Before(b.collectUntil)
+func (p *publication) mayPlan(now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.incarnation != "" && !now.Before(p.collectUntil)
 }
 
 // setFeeders publishes a feed plan and wakes the questions that wait for one.
-func (b *publication) setFeeders(feeders []feedtree.Node, nodes int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	first := !b.planned
-	b.planned = true
+func (p *publication) setFeeders(feeders []feedtree.Node, nodes int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	first := !p.planned
+	p.planned = true
 	// A redirected node derives from this count how long it waits before it reads the store.
-	b.nodes = max(b.nodes, nodes)
-	if !feedtree.SamePlan(b.feeders, feeders) {
-		b.wakeAll()
-		b.feeders, b.feedersVersion = feeders, b.version
+	p.nodes = max(p.nodes, nodes)
+	if !feedtree.SamePlan(p.feeders, feeders) {
+		p.wakeAll()
+		p.feeders, p.feedersVersion = feeders, p.version
 		return
 	}
 	if first {
-		b.wakeAll()
+		p.wakeAll()
 	}
 }
 
 // collectQuestions begins to accept questions before the list of endpoints was read. known is the number of nodes
 // under the previous lease holder; 0 if unknown.
-func (b *publication) collectQuestions(now time.Time, known int, feeders []feedtree.Node) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.collecting, b.requesters, b.planned = true, make(map[string]requester), known > 0
-	b.feeders, b.collectUntil = feeders, now
+func (p *publication) collectQuestions(now time.Time, known int, feeders []feedtree.Node) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.collecting, p.requesters, p.planned = true, make(map[string]requester), known > 0
+	p.feeders, p.collectUntil = feeders, now
 	if known == 0 {
-		b.collectUntil = now.Add(collectWindow)
+		p.collectUntil = now.Add(collectWindow)
 	}
 }
 
 // status reports whether a term is published, and whether questions are collected for one that is about to be.
 // Questions are accepted in both cases.
-func (b *publication) status() (shown, opening bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.incarnation != "", b.collecting
+func (p *publication) status() (published, collecting bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.incarnation != "", p.collecting
 }
 
 // redirectAnswer returns the snapshot that names the feeders to ask.
-func (b *publication) redirectAnswer() *peer.Snapshot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return &peer.Snapshot{Redirect: true, Nodes: b.nodes, Fence: b.fence, Feeders: b.feeders}
+func (p *publication) redirectAnswer() *peer.Snapshot {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return &peer.Snapshot{Redirect: true, Nodes: p.nodes, Fence: p.fence, Feeders: p.feeders}
 }
 
 // awaitPlan keeps a question to the lease holder open until it can be decided or q.Wait is over.
@@ -279,7 +279,7 @@
 			return a, nil
 		}
 		select {
-		case <-w.news:
+		case <-w.notify:
 		case <-c.o.Clock.After(tickEvery):
 		case <-timeout:
 			return a, nil
@@ -302,7 +302,7 @@
 	} else {
 		c.relay.mirror(s)
 	}
-	c.relay.mirrorFeed(s, c.table.Load(), c.halls.evacuations(), asOf, c.holderState.seenAt)
+	c.relay.mirrorCommon(s, c.table.Load(), c.halls.evacuations(), asOf, c.holderState.seenAt)
 }
 
 // recordsOf returns the records as entries that changed at a version, by endpoint.
--- a/internal/placer/feeding_test.go
+++ b/internal/placer/feeding_test.go
@@ -51,17 +51,17 @@
 				return out
 			}
 			if got := count()[waitForPlan]; got != nodes {
-				t.Errorf("%d of %d wait before anything is known", got, nodes)
+				t.Errorf("%d of %d questions wait before the term begins", got, nodes)
 			}
 			c.published.begin("a-1/1", 1, 1, nil, 0)
 			clock.Advance(collectWindow)
 			c.planTree(clock.Now())
 			got := count()
-			if fed := got[serveDirectly]; nodes <= feedtree.FanOut && fed != nodes || nodes > feedtree.FanOut && fed > feedtree.FanOut {
-				t.Errorf("%v, want %d fed directly at most", got, feedtree.FanOut)
+			if served := got[serveDirectly]; nodes <= feedtree.FanOut && served != nodes || nodes > feedtree.FanOut && served > feedtree.FanOut {
+				t.Errorf("%v, want at most %d nodes served directly", got, feedtree.FanOut)
 			}
 			if got[waitForPlan] > 0 {
-				t.Errorf("%d still wait once a plan is made", got[waitForPlan])
+				t.Errorf("%d questions still wait after the plan was made", got[waitForPlan])
 			}
 			if n := c.feeding.nodes.Load(); n != int64(nodes)+1 {
 				t.Errorf("%d nodes known, want %d", n, nodes+1)
@@ -69,15 +69,15 @@
 			if s := c.published.redirectAnswer(); s.Nodes != nodes+1 {
 				t.Errorf("redirected nodes are sent a count of %d, want %d: a smaller one has them read the store at once", s.Nodes, nodes+1)
 			}
-			fed := 0
+			served := 0
 			for _, q := range fleetQuestions(nodes) {
 				q.Orphan = true
 				if c.published.admit(&q, clock.Now()) == serveDirectly {
-					fed++
+					served++
 				}
 			}
-			if nodes > feedtree.FanOut && fed > feedtree.FanOut {
-				t.Errorf("%d nodes without a feeder are fed directly, want %d at most", fed, feedtree.FanOut)
+			if nodes > feedtree.FanOut && served > feedtree.FanOut {
+				t.Errorf("%d nodes without a feeder are served directly, want at most %d", served, feedtree.FanOut)
 			}
 		})
 	}
@@ -187,7 +187,7 @@
 	} else {
 		f.relay.mirror(snap)
 	}
-	f.relay.mirrorFeed(snap, nil, nil, f.asOf, f.holderSeenAt)
+	f.relay.mirrorCommon(snap, nil, nil, f.asOf, f.holderSeenAt)
 	f.incarnation, f.version = snap.Life, snap.Version
 }
 
@@ -260,10 +260,10 @@
 			}
 			for _, n := range []*feedFollower{s.feeders[0], s.feeders[1], s.leaf} {
 				if n.asOf.After(s.readAt) {
-					t.Fatalf("a node takes the store's word for %v newer than it is", n.asOf.Sub(s.readAt))
+					t.Fatalf("a node considers the store state %v newer than it is", n.asOf.Sub(s.readAt))
 				}
 				if n.holderSeenAt.After(s.now) {
-					t.Fatalf("a node takes the holder's word for %v newer than it is", n.holderSeenAt.Sub(s.now))
+					t.Fatalf("a node considers the lease holder's state %v newer than it is", n.holderSeenAt.Sub(s.now))
 				}
 			}
 		}
@@ -333,7 +333,7 @@
 		t.Fatal(err)
 	}
 	s.fetch(f, &s.holder, 0, false)
-	f.relay.mirrorFeed(&peer.Snapshot{Life: f.incarnation, Version: f.version}, table, &peer.Evacuations{Halls: []string{"a"}, AsOf: 3}, s.now, s.now)
+	f.relay.mirrorCommon(&peer.Snapshot{Life: f.incarnation, Version: f.version}, table, &peer.Evacuations{Halls: []string{"a"}, AsOf: 3}, s.now, s.now)
 	snap, _, _ := f.relay.snapshot(peer.Question{Node: "n", Config: 8}, s.now)
 	if snap.Config == nil || snap.Config.Version != 9 || snap.Evacuations == nil || !slices.Equal(snap.Evacuations.Halls, []string{"a"}) {
 		t.Errorf("configuration %v, evacuations %v", snap.Config, snap.Evacuations)
--- a/internal/placer/fullsnapshot.go
+++ b/internal/placer/fullsnapshot.go
@@ -22,26 +22,26 @@
 }
 
 // fullSnapshotAt returns the cached full snapshot if it is at most fullSnapshotTTL old, otherwise a new one. The
-// caller holds b.mu.
-func (b *publication) fullSnapshotAt(now time.Time) *fullSnapshot {
-	if b.full != nil && now.Sub(b.full.at) <= fullSnapshotTTL {
-		return b.full
+// caller holds p.mu.
+func (p *publication) fullSnapshotAt(now time.Time) *fullSnapshot {
+	if p.full != nil && now.Sub(p.full.at) <= fullSnapshotTTL {
+		return p.full
 	}
-	shared := &peer.Shared{Serving: make(map[string][]string, len(b.serving)), Instances: make([]directory.Record, 0, len(b.feed.instances))}
-	for id, sh := range b.serving {
+	shared := &peer.Shared{Serving: make(map[string][]string, len(p.serving)), Instances: make([]directory.Record, 0, len(p.store.instances))}
+	for id, sh := range p.serving {
 		shared.Serving[id] = sh.pools
 	}
-	for _, in := range b.feed.instances {
+	for _, in := range p.store.instances {
 		if in.record.Instance != nil {
 			shared.Instances = append(shared.Instances, in.record)
 		}
 	}
-	b.full = &fullSnapshot{at: now, version: b.version, listedTo: b.feed.listedTo, instancesAt: b.feed.instancesAt, shared: shared}
-	return b.full
+	p.full = &fullSnapshot{at: now, version: p.version, listedTo: p.store.listedTo, instancesAt: p.store.instancesAt, shared: shared}
+	return p.full
 }
 
 // fill copies the full snapshot into s. The large parts are shared, not copied.
-func (w *fullSnapshot) fill(s *peer.Snapshot) {
-	s.Version, s.ListedTo = w.version, w.listedTo
-	s.Serving, s.Instances, s.Shared = w.shared.Serving, w.shared.Instances, w.shared
+func (f *fullSnapshot) fill(s *peer.Snapshot) {
+	s.Version, s.ListedTo = f.version, f.listedTo
+	s.Serving, s.Instances, s.Shared = f.shared.Serving, f.shared.Instances, f.shared
 }
--- a/internal/placer/halls.go
+++ b/internal/placer/halls.go
@@ -26,21 +26,21 @@
 }
 
 // applyEvacuationRecords applies the evacuation records of a page of the configuration topic.
-func (c *Controller) applyEvacuationRecords(page logstore.Page[logstore.Config], whole bool) {
+func (c *Controller) applyEvacuationRecords(page logstore.Page[logstore.Config], full bool) {
 	before := c.halls.evacuated.Halls()
-	if whole {
-		var on []string
+	if full {
+		var halls []string
 		for _, r := range page.Records {
 			if ev := r.Value.Evacuation; ev != nil && ev.On {
-				on = append(on, ev.Hall)
+				halls = append(halls, ev.Hall)
 			}
 		}
 		if !c.rewriteGraceOver(c.o.Clock.Now()) {
 			// A restored store may lack an evacuation that was acknowledged. None is ended until the operator has had
 			// the time to write it again.
-			on = append(on, before...)
+			halls = append(halls, before...)
 		}
-		c.halls.evacuated.Replace(on, page.Next)
+		c.halls.evacuated.Replace(halls, page.Next)
 	} else {
 		for _, r := range page.Records {
 			if ev := r.Value.Evacuation; ev != nil {
@@ -114,9 +114,9 @@
 	live := c.directory.Live(now)
 	for i, e := range live {
 		if c.halls.evacuated.Evacuated(e.Hall) && !e.Draining {
-			away := *e
-			away.Draining = true
-			live[i] = &away
+			draining := *e
+			draining.Draining = true
+			live[i] = &draining
 		}
 	}
 	c.planner.SetEngines(live, now)
@@ -130,8 +130,8 @@
 		return
 	}
 	until := e.ColdUntil
-	if back, ok := c.halls.evacuationEndedAt[e.Hall]; ok && back.Add(s.ColdStart).After(until) {
-		until = back.Add(s.ColdStart)
+	if endedAt, ok := c.halls.evacuationEndedAt[e.Hall]; ok && endedAt.Add(s.ColdStart).After(until) {
+		until = endedAt.Add(s.ColdStart)
 	}
 	if !until.After(now) {
 		return
@@ -154,12 +154,12 @@
 }
 
 // setEvacuations publishes the data halls that are being evacuated, as of a position of the configuration topic.
-func (b *publication) setEvacuations(halls []string, asOf uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.feed.evacuations != nil && slices.Equal(b.feed.evacuations.Halls, halls) {
+func (p *publication) setEvacuations(halls []string, asOf uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.store.evacuations != nil && slices.Equal(p.store.evacuations.Halls, halls) {
 		return
 	}
-	b.wakeAll()
-	b.feed.evacuations, b.feed.evacuationsVersion = &peer.Evacuations{Halls: halls, AsOf: asOf}, b.version
+	p.wakeAll()
+	p.store.evacuations, p.store.evacuationsVersion = &peer.Evacuations{Halls: halls, AsOf: asOf}, p.version
 }
--- a/internal/placer/halls_test.go
+++ b/internal/placer/halls_test.go
@@ -60,12 +60,12 @@
 // became cold during the evacuation.
 func TestEvacuatedHallGetsNothing(t *testing.T) {
 	on, off := logstore.Evacuation{Hall: "a", On: true}, logstore.Evacuation{Hall: "a"}
-	whole, single := true, false
+	full, single := true, false
 	type step struct {
-		after time.Duration
-		page  logstore.Page[logstore.Config]
-		whole bool
-		fed   *peer.Evacuations
+		after   time.Duration
+		page    logstore.Page[logstore.Config]
+		full    bool
+		relayed *peer.Evacuations
 	}
 	both, one := map[string]bool{"e-1": false, "e-2": false}, map[string]bool{"e-2": false}
 	tests := []struct {
@@ -73,19 +73,19 @@
 		steps []step
 		want  map[string]bool
 	}{
-		{"none", []step{{page: operatorPage(0, 5), whole: whole}}, both},
-		{"by a record", []step{{page: operatorPage(0, 5, on), whole: single}}, one},
-		{"by a list", []step{{page: operatorPage(0, 5, on), whole: whole}}, one},
-		{"by the holder", []step{{fed: &peer.Evacuations{Halls: []string{"a"}, AsOf: 5}}}, one},
-		{"by an older word of the holder", []step{{page: operatorPage(0, 5, on), whole: single}, {fed: &peer.Evacuations{AsOf: 4}}}, one},
-		{"all halls", []step{{page: operatorPage(0, 5, on, logstore.Evacuation{Hall: "b", On: true}), whole: single}}, map[string]bool{}},
-		{"a hall that nobody knows", []step{{page: operatorPage(0, 5, logstore.Evacuation{Hall: "z", On: true}), whole: single}}, both},
-		{"twice", []step{{page: operatorPage(0, 5, on), whole: single}, {page: operatorPage(0, 6, on), whole: single}}, one},
-		{"taken back: cold at first", []step{{page: operatorPage(0, 5, on), whole: single}, {page: operatorPage(0, 6, off), whole: single}}, map[string]bool{"e-1": true, "e-2": false}},
-		{"taken back by a list", []step{{page: operatorPage(0, 5, on), whole: single}, {page: operatorPage(0, 6), whole: whole}}, map[string]bool{"e-1": true, "e-2": false}},
-		{"taken back, warm again", []step{{page: operatorPage(0, 5, on), whole: single}, {page: operatorPage(0, 6, off), whole: single}, {after: coldStart, page: operatorPage(0, 6)}}, both},
-		{"not in a copy of the store", []step{{page: operatorPage(0, 5, on), whole: single}, {page: operatorPage(1, 3), whole: whole}}, one},
-		{"not written again after the store came back", []step{{page: operatorPage(0, 5, on), whole: single}, {page: operatorPage(1, 3), whole: whole}, {after: rewriteGrace, page: operatorPage(1, 3), whole: whole}}, map[string]bool{"e-1": true, "e-2": false}},
+		{"none", []step{{page: operatorPage(0, 5), full: full}}, both},
+		{"by a record", []step{{page: operatorPage(0, 5, on), full: single}}, one},
+		{"by a list", []step{{page: operatorPage(0, 5, on), full: full}}, one},
+		{"by the holder", []step{{relayed: &peer.Evacuations{Halls: []string{"a"}, AsOf: 5}}}, one},
+		{"by an older word of the holder", []step{{page: operatorPage(0, 5, on), full: single}, {relayed: &peer.Evacuations{AsOf: 4}}}, one},
+		{"all halls", []step{{page: operatorPage(0, 5, on, logstore.Evacuation{Hall: "b", On: true}), full: single}}, map[string]bool{}},
+		{"a hall that nobody knows", []step{{page: operatorPage(0, 5, logstore.Evacuation{Hall: "z", On: true}), full: single}}, both},
+		{"twice", []step{{page: operatorPage(0, 5, on), full: single}, {page: operatorPage(0, 6, on), full: single}}, one},
+		{"taken back: cold at first", []step{{page: operatorPage(0, 5, on), full: single}, {page: operatorPage(0, 6, off), full: single}}, map[string]bool{"e-1": true, "e-2": false}},
+		{"taken back by a list", []step{{page: operatorPage(0, 5, on), full: single}, {page: operatorPage(0, 6), full: full}}, map[string]bool{"e-1": true, "e-2": false}},
+		{"taken back, warm again", []step{{page: operatorPage(0, 5, on), full: single}, {page: operatorPage(0, 6, off), full: single}, {after: coldStart, page: operatorPage(0, 6)}}, both},
+		{"not in a copy of the store", []step{{page: operatorPage(0, 5, on), full: single}, {page: operatorPage(1, 3), full: full}}, one},
+		{"not written again after the store came back", []step{{page: operatorPage(0, 5, on), full: single}, {page: operatorPage(1, 3), full: full}, {after: rewriteGrace, page: operatorPage(1, 3), full: full}}, map[string]bool{"e-1": true, "e-2": false}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -94,11 +94,11 @@
 			c.enterEra(0, clock.Now())
 			for _, s := range tt.steps {
 				clock.Advance(s.after)
-				if s.fed != nil {
-					c.applyHolderEvacuations(s.fed)
+				if s.relayed != nil {
+					c.applyHolderEvacuations(s.relayed)
 					continue
 				}
-				configPage{s.page, s.whole, clock.Now()}.handle(c)
+				configPage{s.page, s.full, clock.Now()}.handle(c)
 			}
 			if diff := cmp.Diff(tt.want, served(c, clock.Now())); diff != "" {
 				t.Errorf("endpoints in use, true for cold ones (-want +got):\n%s", diff)
@@ -125,7 +125,7 @@
 	got = append(got, n.halls.evacuated.Halls())
 	q := peer.Question{Node: "n", Life: "h-1", Version: h.published.version}
 	if ask(q) {
-		t.Error("no change is urgent")
+		t.Error("a question without any change is urgent")
 	}
 	configPage{operatorPage(0, 6, logstore.Evacuation{Hall: "b", On: true}), false, clock.Now()}.handle(h)
 	if !ask(q) {
@@ -145,7 +145,7 @@
 	entry := func(version uint64, cold time.Duration) {
 		in := &directory.Instance{ID: "e-1", Service: "s", Address: "e-1", Hall: "a", Cold: cold}
 		if h.directory.Apply(directory.Record{ID: "e-1", Version: version, Instance: in}, clock.Now()) == directory.Unchanged {
-			t.Errorf("entry %d is no news", version)
+			t.Errorf("entry %d changes nothing", version)
 		}
 		for _, r := range h.directory.Records(clock.Now()) {
 			n.directory.Apply(r, clock.Now())
--- a/internal/placer/holderstate.go
+++ b/internal/placer/holderstate.go
@@ -34,23 +34,23 @@
 }
 
 // follow sets the lease holder to ask for snapshots.
-func (r *holderState) follow(holder lease.Record) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.holder = holder
+func (h *holderState) follow(holder lease.Record) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.holder = holder
 }
 
-func (r *holderState) target() lease.Record {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.holder
+func (h *holderState) target() lease.Record {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.holder
 }
 
 // expired reports whether the lease holder's state has become older than holderTTL since the last check.
-func (r *holderState) expired(now time.Time) bool {
-	fresh := !r.seenAt.IsZero() && now.Sub(r.seenAt) <= holderTTL
-	was := r.fresh
-	r.fresh = fresh
+func (h *holderState) expired(now time.Time) bool {
+	fresh := !h.seenAt.IsZero() && now.Sub(h.seenAt) <= holderTTL
+	was := h.fresh
+	h.fresh = fresh
 	return was && !fresh
 }
 
@@ -72,7 +72,7 @@
 
 // watchState is what the watcher has received so far, and from whom.
 type watchState struct {
-	life                           string
+	incarnation                    string
 	version, suspectsTo, signalsTo uint64
 	// fence is the highest fence received: an answer with a lower one comes from a previous lease holder's term.
 	fence uint64
@@ -83,14 +83,14 @@
 	connected bool
 }
 
-// question returns the next question to a source.
+// question returns the next question to a source, which is a long poll for a snapshot.
 func (w *watchState) question(c *Controller, from source) peer.Question {
 	if from.address != w.address {
 		// suspectsTo and signalsTo are versions of the node that answered, and mean nothing to another one.
 		w.address, w.suspectsTo, w.signalsTo = from.address, 0, 0
 	}
 	q := peer.Question{
-		Node: c.o.Self.Holder, Life: w.life, Version: w.version, SuspectsTo: w.suspectsTo, SignalsTo: w.signalsTo, Wait: c.timing.watchWait,
+		Node: c.o.Self.Holder, Life: w.incarnation, Version: w.version, SuspectsTo: w.suspectsTo, SignalsTo: w.signalsTo, Wait: c.timing.watchWait,
 		Address: c.o.Self.Address, Hall: c.o.Hall, Strength: c.o.Strength, Feeder: from.feeder, Orphan: from.noFeeder,
 	}
 	if t := c.table.Load(); t != nil {
@@ -126,8 +126,8 @@
 		case from.noFeeder:
 			// The lease holder serves no more nodes without a feeder, and no feeder answers yet.
 			c.pause(ctx, redirectPause)
-		case now.Sub(asked) < emptyPause:
-			c.pause(ctx, emptyPause)
+		case now.Sub(asked) < quickRedirectPause:
+			c.pause(ctx, quickRedirectPause)
 		}
 		return true
 	}
@@ -135,17 +135,17 @@
 		c.o.Logger.Info("lease holder regained", "holder", h.Holder, "fence", s.Fence)
 	}
 	w.connected = true
-	w.life, w.version, w.suspectsTo, w.signalsTo, w.fence = s.Life, s.Version, s.SuspectsTo, s.SignalsTo, s.Fence
+	w.incarnation, w.version, w.suspectsTo, w.signalsTo, w.fence = s.Life, s.Version, s.SuspectsTo, s.SignalsTo, s.Fence
 	took := now.Sub(asked)
 	c.o.Logger.Trace("heard", "version", s.Version, "tookMs", took.Milliseconds())
 	// The duration of the call minus the time that the question was held is the round trip. How much of it was the
 	// way back is unknown, so that all of it counts towards the snapshot's age.
-	onTheWay := max(0, took-time.Duration(s.HeldMs)*time.Millisecond)
-	if from.feeder && time.Duration(s.HolderMs)*time.Millisecond+onTheWay > c.timing.watchWait+holderTTL/2 {
+	transit := max(0, took-time.Duration(s.HeldMs)*time.Millisecond)
+	if from.feeder && time.Duration(s.HolderMs)*time.Millisecond+transit > c.timing.watchWait+holderTTL/2 {
 		// The feeder is slow or has lost the lease holder; another one may have newer state.
 		w.avoid[from.address] = now.Add(avoidFor)
 	}
-	return c.inbox.Send(ctx, snapshotReceived{s, onTheWay, asked.Add(took - onTheWay)})
+	return c.inbox.Send(ctx, snapshotReceived{s, transit, asked.Add(took - transit)})
 }
 
 // errText returns the error of an answer, or that it has an outdated fence if err is nil.
@@ -191,8 +191,8 @@
 	}
 	c.viewStale = c.viewStale || s.Version != r.version
 	r.version, r.seenAt = s.Version, now.Add(-time.Duration(s.HolderMs)*time.Millisecond)
-	heardAt := r.seenAt
-	c.holderSeenAt.Store(&heardAt)
+	seenAt := r.seenAt
+	c.holderSeenAt.Store(&seenAt)
 	r.fresh = now.Sub(r.seenAt) <= holderTTL
 	c.holderLostStore.Store(s.StoreDoubt)
 	for engine, pools := range s.Serving {
@@ -265,11 +265,11 @@
 		c.lease.Fold(s.LeaseOffset, s.Lease, now)
 		c.watchNewHolder(before, "feed")
 	}
-	// whole is false if a configuration newer than the one in force is known but cannot be used.
-	whole := true
+	// configUsable is false if a configuration newer than the one in force is known but cannot be used.
+	configUsable := true
 	if s.Config != nil {
 		if t, err := route.New(s.Config); err != nil {
-			whole = false
+			configUsable = false
 			c.o.Logger.Error("relayed configuration rejected", "error", err.Error())
 		} else {
 			c.configure(t)
@@ -281,27 +281,27 @@
 		// The lease holder has read the list; a node that cannot read the store itself may rely on it.
 		c.listed, changed = true, true
 	}
-	news := &listChanges{source: "feed"}
+	changes := &listChanges{source: "feed"}
 	for i := range s.Instances {
 		s.Instances[i].Relayed = true
 		c.names.record(&s.Instances[i])
 	}
 	if s.Whole {
 		// The first snapshot of an incarnation contains the full list: endpoints that are not in it are gone.
-		c.directory.Replace(s.Instances, s.ListedTo, now, news.add)
+		c.directory.Replace(s.Instances, s.ListedTo, now, changes.add)
 	} else {
 		for _, r := range s.Instances {
 			if change := c.directory.Apply(r, now); change != directory.Unchanged {
-				news.add(r, change)
+				changes.add(r, change)
 			}
 		}
 	}
 	c.listedTo = max(c.listedTo, s.ListedTo)
-	c.applyListChanges(news)
-	if changed || len(news.changes) > 0 {
+	c.applyListChanges(changes)
+	if changed || len(changes.changes) > 0 {
 		c.listChanged(now)
 	}
-	if !whole {
+	if !configUsable {
 		// The relayed state does not count as fresh, so that this node reads the configuration itself.
 		return
 	}
@@ -416,24 +416,24 @@
 
 // reportMark holds the versions up to which one lease holder has received this node's reports.
 type reportMark struct {
-	// life is the incarnation of that lease holder.
-	life string
+	// incarnation is that of the lease holder.
+	incarnation string
 	// suspects is the version of the suspected requests, and signals is the version of the endpoints' signals.
 	suspects, signals uint64
 }
 
 // of returns the versions that a lease holder has received; zero versions for another holder than the recorded one.
-func (r reportMark) of(life string) reportMark {
-	if r.life != life {
-		return reportMark{life: life}
+func (r reportMark) of(incarnation string) reportMark {
+	if r.incarnation != incarnation {
+		return reportMark{incarnation: incarnation}
 	}
 	return r
 }
 
 type reportSent struct {
-	// life is the incarnation of the lease holder, and suspectsTo and signalsTo are the versions that the report
+	// incarnation is that of the lease holder, and suspectsTo and signalsTo are the versions that the report
 	// reached.
-	life                  string
+	incarnation           string
 	suspectsTo, signalsTo uint64
 	err                   error
 }
@@ -444,7 +444,7 @@
 		c.o.Logger.Debug("report to the lease holder failed", "error", m.err.Error())
 		return
 	}
-	c.reportAcked = reportMark{life: m.life, suspects: m.suspectsTo, signals: m.signalsTo}
+	c.reportAcked = reportMark{incarnation: m.incarnation, suspects: m.suspectsTo, signals: m.signalsTo}
 }
 
 // uses returns this node's use of each unit. The regions of a pool are added up.
--- a/internal/placer/index_test.go
+++ b/internal/placer/index_test.go
@@ -57,7 +57,7 @@
 				was[pool] = values(eps)
 			}
 			if diff := cmp.Diff(copies[i], was); diff != "" {
-				t.Errorf("a view that was handed out has changed (-want +got):\n%s", diff)
+				t.Errorf("a list handed out earlier has changed (-want +got):\n%s", diff)
 			}
 		}
 	})
--- a/internal/placer/intern.go
+++ b/internal/placer/intern.go
@@ -8,8 +8,8 @@
 
 // intern returns the shared copy of a name.
 func (n interner) intern(name string) string {
-	if kept, ok := n[name]; ok {
-		return kept
+	if shared, ok := n[name]; ok {
+		return shared
 	}
 	n[name] = name
 	return name
--- a/internal/placer/isolation.go
+++ b/internal/placer/isolation.go
@@ -13,8 +13,7 @@
 	"olivetiller/io/peer"
 )
 
-// Times and limits of sharing what nodes know of suspected requests, that is, requests under which engines have
-// ended.
+// Times and limits of sharing what nodes know of suspected requests: requests during which engines have crashed.
 const (
 	// suspectsTTL is how long the state received from others is used: a node that has received none for longer does
 	// not send a suspected request again.
@@ -80,8 +79,8 @@
 	c.relay.wakeFollowers()
 }
 
-// SuspectsFresh reports whether this node knows the other nodes' state of suspected requests as of the last
-// suspectsTTL. The lease holder always does, since all nodes report to it.
+// SuspectsFresh reports whether this node has received other nodes' state of suspected requests within suspectsTTL.
+// It always holds at the lease holder, to which all nodes report.
 func (c *Controller) SuspectsFresh() bool {
 	if c.leading.Load() {
 		return true
@@ -108,7 +107,7 @@
 
 // evaluateSuspects has the guard evaluate the requests that are due. Only the lease holder, which receives the
 // suspicions of all nodes, and a node without a lease holder may convict a request by its probability: a node that
-// knows of only some of the suspects of an engine's end would overrate each of them.
+// knows of only some of the suspects of a crash would overrate each of them.
 func (c *Controller) evaluateSuspects() {
 	c.suspects.guard.SetWhole(c.held || !c.holderState.fresh)
 	c.suspects.guard.Judge()
@@ -131,9 +130,9 @@
 }
 
 // reportSuspects adds the entries that the lease holder lacks to a report, and returns the version that they reach.
-// life is the lease holder's incarnation.
-func (c *Controller) reportSuspects(r *peer.Report, life string, now time.Time) uint64 {
-	entries, to := c.suspects.guard.Since(c.reportAcked.of(life).suspects, quarantine.Own)
+// incarnation is the lease holder's.
+func (c *Controller) reportSuspects(r *peer.Report, incarnation string, now time.Time) uint64 {
+	entries, to := c.suspects.guard.Since(c.reportAcked.of(incarnation).suspects, quarantine.Own)
 	r.Suspects = peer.Suspects(entries, now)
 	return to
 }
@@ -178,7 +177,7 @@
 
 // exchangeMark holds the incarnation of another node and the versions that both have received from each other.
 type exchangeMark struct {
-	life           string
+	incarnation    string
 	sent, received uint64
 }
 
@@ -203,24 +202,24 @@
 func (c *Controller) exchangeWith(ctx context.Context, address string, m exchangeMark) exchangeMark {
 	entries, to := c.suspects.guard.Since(m.sent, quarantine.All)
 	begun := c.o.Clock.Now()
-	mine := &peer.Exchange{
-		Node: c.o.Self.Holder, Life: c.o.Self.Life, Since: m.received, Of: m.life, Version: to,
+	request := &peer.Exchange{
+		Node: c.o.Self.Holder, Life: c.o.Self.Life, Since: m.received, Of: m.incarnation, Version: to,
 		Suspects: peer.Suspects(entries, begun), Signals: c.allSignals(begun),
 	}
-	theirs, err := c.o.Peers.Exchange(ctx, address, mine)
+	reply, err := c.o.Peers.Exchange(ctx, address, request)
 	if err != nil {
 		c.o.Logger.Debug("exchange with another node failed", "address", address, "error", err.Error())
 		return m
 	}
 	now := c.o.Clock.Now()
 	c.notePeerData(now)
-	c.suspects.guard.Merge(peer.Entries(theirs.Suspects, now), theirs.Node)
-	c.mergeSignals(theirs.Signals, theirs.Node, now)
-	if theirs.Life != m.life && m.sent > 0 {
+	c.suspects.guard.Merge(peer.Entries(reply.Suspects, now), reply.Node)
+	c.mergeSignals(reply.Signals, reply.Node, now)
+	if reply.Life != m.incarnation && m.sent > 0 {
 		// The other node has restarted and lacks what was sent to its previous incarnation; send everything again.
-		return exchangeMark{life: theirs.Life, received: theirs.Version}
+		return exchangeMark{incarnation: reply.Life, received: reply.Version}
 	}
-	return exchangeMark{life: theirs.Life, sent: to, received: theirs.Version}
+	return exchangeMark{incarnation: reply.Life, sent: to, received: reply.Version}
 }
 
 // verdictPage is a page of the stored verdicts.
@@ -250,8 +249,8 @@
 // storeVerdicts writes the verdicts that the store lacks, at the lease holder.
 func (c *Controller) storeVerdicts(ctx context.Context, now time.Time) {
 	s := &c.suspects
-	told := s.guard.ToldVersion()
-	if !c.held || s.storing || told <= s.storedTo || now.Before(s.retryAt) || !s.known.Load() {
+	version := s.guard.ToldVersion()
+	if !c.held || s.storing || version <= s.storedTo || now.Before(s.retryAt) || !s.known.Load() {
 		return
 	}
 	entries, to := s.guard.Since(s.storedTo, quarantine.Concerning)
--- a/internal/placer/isolation_test.go
+++ b/internal/placer/isolation_test.go
@@ -62,7 +62,7 @@
 // endpointOf returns an engine's endpoint in its first incarnation.
 func endpointOf(engine string) view.Endpoint { return view.Endpoint{Name: engine, Start: 1} }
 
-// addSuspicions informs a node that engines ended while they ran a request.
+// addSuspicions informs a node that engines crashed while they ran a request.
 func addSuspicions(c *Controller, f quarantine.Fingerprint, engines ...string) {
 	now := c.o.Clock.Now()
 	e := quarantine.Entry{Request: f, At: now}
@@ -88,14 +88,14 @@
 	}
 	m = a.exchangeWith(t.Context(), "b", m)
 	if entries, _ := a.suspects.guard.Since(m.sent, quarantine.All); len(entries) != 0 {
-		t.Errorf("%d entries would be told again", len(entries))
+		t.Errorf("%d entries would be sent again", len(entries))
 	}
 	d.nodes["b"] = newPeerControllers(clock, "b").nodes["b"]
 	d.nodes["b"].o.Self.Life = "b-2"
 	m = a.exchangeWith(t.Context(), "b", m)
 	a.exchangeWith(t.Context(), "b", m)
 	if diff := cmp.Diff(2, ends(d.nodes["b"])); diff != "" {
-		t.Errorf("ends known to b, begun anew (-want +got):\n%s", diff)
+		t.Errorf("ends known to b after its restart (-want +got):\n%s", diff)
 	}
 }
 
@@ -107,7 +107,7 @@
 	h, n, o := d.nodes["h"], d.nodes["n"], d.nodes["o"]
 	f := quarantine.Fingerprint{1}
 	for _, engine := range []string{"e1", "e2", "e3"} {
-		// Engine ends that this node has observed itself.
+		// Crashes that this node has observed itself.
 		clock.Advance(time.Second)
 		n.suspects.guard.Seen(quarantine.Life{Engine: engine, Start: 1}, false)
 		run := n.suspects.guard.Send(f, endpointOf(engine))
@@ -122,20 +122,20 @@
 	}
 	s := &peer.Snapshot{Life: "h-1", Whole: true}
 	if !h.addSuspects(s, peer.Question{}, clock.Now()) {
-		t.Error("nothing to tell")
+		t.Error("nothing to send")
 	}
 	o.mergeHolderSuspects(s, clock.Now())
 	if got := o.suspects.guard.State(f); got != quarantine.Quarantined {
-		t.Errorf("another node thinks of it as %v", got)
+		t.Errorf("state at another node = %v, want quarantined", got)
 	}
 	if h.addSuspects(&peer.Snapshot{Life: "h-1"}, peer.Question{SuspectsTo: s.SuspectsTo}, clock.Now()) {
-		t.Error("what was told is told again")
+		t.Error("what was sent is sent again")
 	}
 }
 
 // TestConvictionNeedsAllSuspicions checks that a node with a lease holder leaves convictions by probability to the
 // holder, which receives all suspicions, and that a node without one decides itself. A node that knew of two of the
-// eight suspects of an engine's end convicted proper requests, since it overrated the probability of each.
+// eight suspects of a crash convicted proper requests, since it overrated the probability of each.
 func TestConvictionNeedsAllSuspicions(t *testing.T) {
 	tests := []struct {
 		name           string
--- a/internal/placer/memory_test.go
+++ b/internal/placer/memory_test.go
@@ -66,10 +66,10 @@
 	snapshotReceived{s, 0, clock.Now()}.handle(c)
 	s = nil
 	c.publish(clock.Now())
-	held := liveHeap() - before
-	t.Logf("%d bytes on the wire, %.1f MB kept", len(raw), float64(held)/(1<<20))
-	if held > most {
-		t.Errorf("%.1f MB are kept of %d endpoints, want %d at most", float64(held)/(1<<20), len(c.index.byEndpoint), most>>20)
+	used := liveHeap() - before
+	t.Logf("%d bytes on the wire, %.1f MB kept", len(raw), float64(used)/(1<<20))
+	if used > most {
+		t.Errorf("%.1f MB in use for %d endpoints, want at most %d", float64(used)/(1<<20), len(c.index.byEndpoint), most>>20)
 	}
 	runtime.KeepAlive(c)
 	runtime.KeepAlive(raw)
--- a/internal/placer/ordering.go
+++ b/internal/placer/ordering.go
@@ -72,15 +72,15 @@
 	}
 }
 
-// logRestarts logs the engines that restarted under the same id, and the models whose loads are suspended because
-// engines ended under them.
+// logRestarts logs the engines that restarted under the same id, and the models whose loads are in backoff because
+// engines crashed during them.
 func (c *Controller) logRestarts() {
 	for _, s := range c.planner.StartedAgain() {
 		c.engineRestarts.Add(1)
 		c.o.Logger.Info("engine restarted, its previous state is discarded", "engine", s.Engine, "born", int64(s.Start), "lateLoads", s.Late)
 	}
 	for _, r := range c.planner.Resting() {
-		c.o.Logger.Warn("loads of a model suspended, engines ended during them", "unit", r.Unit.Pool(), "enginesEnded", r.Ended, "restMs", r.Rest.Milliseconds())
+		c.o.Logger.Warn("loads of a model in backoff, engines crashed during them", "unit", r.Unit.Pool(), "enginesEnded", r.Ended, "restMs", r.Rest.Milliseconds())
 	}
 }
 
@@ -111,13 +111,13 @@
 	c.inbox.Send(ctx, orderDone{o, reply})
 }
 
-// errLeaseOver is returned for an order that is not sent because its lease has ended.
-var errLeaseOver = errors.New("the lease under which the order was planned has ended")
+// errLeaseEnded is returned for an order that is not sent because its lease has ended.
+var errLeaseEnded = errors.New("the lease under which the order was planned has ended")
 
 // mayOrder returns an error if an order under a fence must not be sent now.
 func (c *Controller) mayOrder(fence uint64) error {
 	if !c.published.mayOrder(fence, c.o.Clock.Now()) {
-		return errLeaseOver
+		return errLeaseEnded
 	}
 	return nil
 }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -96,7 +96,7 @@
 			c := newController(clock)
 			snapshotReceived{&peer.Snapshot{Life: "b-1", Version: 1, Feed: peer.Feed{AgeMs: tt.ageMs}}, tt.onTheWay, clock.Now()}.handle(c)
 			if got := c.relayFresh(); got != tt.want {
-				t.Errorf("isFed = %t, want %t", got, tt.want)
+				t.Errorf("relayFresh = %t, want %t", got, tt.want)
 			}
 		})
 	}
@@ -112,16 +112,16 @@
 			limit = defaultBound
 		}
 		if got := p.relayTTL + p.ownInstancesEvery; got > limit {
-			t.Errorf("bound %v: believed and read within %v, want at most %v", bound, got, limit)
+			t.Errorf("bound %v: outdated state is replaced within %v, want at most %v", bound, got, limit)
 		}
 		if blind := p.relayTTL + tickEvery + p.silenceTimeout; limit >= time.Second && blind >= limit {
-			t.Errorf("bound %v: a node that is no longer fed is blind for %v if its first read fails, want less than %v", bound, blind, limit)
+			t.Errorf("bound %v: a node without relayed state receives nothing for %v if its first read fails, want less than %v", bound, blind, limit)
 		}
 		if blind := p.ownInstancesEvery + p.ownWait + readSlack; bound >= 2*time.Second && blind >= limit {
-			t.Errorf("bound %v: a node that reads for itself is blind for %v if a read fails, want less than %v", bound, blind, limit)
+			t.Errorf("bound %v: a node that reads for itself receives nothing for %v if a read fails, want less than %v", bound, blind, limit)
 		}
 		if steady := p.holderWait + p.watchWait; steady >= p.relayTTL {
-			t.Errorf("bound %v: the relayed word is up to %v old, and counts for %v", bound, steady, p.relayTTL)
+			t.Errorf("bound %v: relayed state is up to %v old, and is used for %v", bound, steady, p.relayTTL)
 		}
 	}
 }
@@ -160,15 +160,15 @@
 // version up to which the list was read.
 func TestFirstSnapshot(t *testing.T) {
 	now := clockwork.NewFakeClock().Now()
-	var b publication
-	b.init()
-	b.begin("a-1", 5, 1, []directory.Record{{ID: "e", Version: 3, Instance: instance("e")}}, 9)
-	s, urgent, ok := b.snapshot(peer.Question{Node: "n"}, now)
+	var p publication
+	p.init()
+	p.begin("a-1", 5, 1, []directory.Record{{ID: "e", Version: 3, Instance: instance("e")}}, 9)
+	s, urgent, ok := p.snapshot(peer.Question{Node: "n"}, now)
 	if !ok || !urgent || len(s.Instances) != 1 || s.ListedTo != 9 {
 		t.Fatalf("first snapshot = %+v, %t, %t; want the endpoint, urgent", s, urgent, ok)
 	}
-	b.publishInstances(nil, 12)
-	s, urgent, _ = b.snapshot(peer.Question{Node: "n", Life: s.Life, Version: s.Version}, now)
+	p.publishInstances(nil, 12)
+	s, urgent, _ = p.snapshot(peer.Question{Node: "n", Life: s.Life, Version: s.Version}, now)
 	want := []directory.Record{{ID: "e", Version: 12, Relayed: true}}
 	if diff := cmp.Diff(want, s.Instances); diff != "" || !urgent {
 		t.Errorf("urgent = %t; endpoints (-want +got):\n%s", urgent, diff)
@@ -214,7 +214,7 @@
 		t.Errorf("endpoints (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(map[logstore.Reason]int{logstore.Unnamed: 1}, c.faults.all()); diff != "" {
-		t.Errorf("records passed over (-want +got):\n%s", diff)
+		t.Errorf("skipped records (-want +got):\n%s", diff)
 	}
 }
 
@@ -226,7 +226,7 @@
 	c.lease.Begin(c.o.Clock.Now(), nil)
 	leaseAppended{c.o.Self, 0, c.o.Clock.Now()}.handle(c)
 	if c.storeHealth.unavailable() {
-		t.Error("the store has answered, and counts as away")
+		t.Error("the store has answered, but counts as unavailable")
 	}
 }
 
@@ -251,10 +251,10 @@
 	fails <- true
 	// The message is sent after the failure was recorded.
 	if m, ok := (<-c.inbox.C).(storeReadFailed); !ok {
-		t.Fatalf("message %T, want storeAway", m)
+		t.Fatalf("message %T, want storeReadFailed", m)
 	}
 	if c.storeHealth.unavailable() {
-		t.Error("the store answered a later call, and counts as away")
+		t.Error("the store answered a later call, but counts as unavailable")
 	}
 }
 
@@ -276,7 +276,7 @@
 		got = append(got, c.relayFresh())
 	}
 	if diff := cmp.Diff([]bool{true, false}, got); diff != "" {
-		t.Errorf("fed by none, by a broken one (-want +got):\n%s", diff)
+		t.Errorf("relayFresh without a configuration, with an unusable one (-want +got):\n%s", diff)
 	}
 }
 
--- a/internal/placer/publication.go
+++ b/internal/placer/publication.go
@@ -38,11 +38,11 @@
 	readyVersion uint64
 	// interest holds, by node, the pools for which requests wait there.
 	interest map[string]map[string]bool
-	feed     storeState
-	// suspects is the latest version of the records of suspected requests that all nodes must receive.
-	suspects uint64
-	// signals is the latest version of the endpoints' signals (capacity and draining).
-	signals uint64
+	store    storeState
+	// suspectsVersion is the latest version of the records of suspected requests that all nodes must receive.
+	suspectsVersion uint64
+	// signalsVersion is the latest version of the endpoints' signals (capacity and draining).
+	signalsVersion uint64
 	// full caches the latest full snapshot; nil if there is none.
 	full *fullSnapshot
 	// watchers are the open long polls.
@@ -70,192 +70,192 @@
 	version uint64
 }
 
-func (b *publication) init() {
-	b.watchers, b.requesters = make(map[*watcher]bool), make(map[string]requester)
+func (p *publication) init() {
+	p.watchers, p.requesters = make(map[*watcher]bool), make(map[string]requester)
 }
 
 // begin starts the publication of a new term, in which no engine serves anything yet.
-func (b *publication) begin(life string, fence uint64, nodes int, records []directory.Record, listedTo uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.incarnation, b.fence, b.nodes, b.peers, b.collecting = life, fence, nodes, nil, false
-	b.serving, b.removedAt, b.readyAt = make(map[string]servingEntry), make(map[string]uint64), nil
-	b.feed.takers, b.feed.takersVersion, b.full = nil, 0, nil
-	b.interest, b.feed.instances = make(map[string]map[string]bool), make(map[string]instanceEntry)
+func (p *publication) begin(incarnation string, fence uint64, nodes int, records []directory.Record, listedTo uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.incarnation, p.fence, p.nodes, p.peers, p.collecting = incarnation, fence, nodes, nil, false
+	p.serving, p.removedAt, p.readyAt = make(map[string]servingEntry), make(map[string]uint64), nil
+	p.store.takers, p.store.takersVersion, p.full = nil, 0, nil
+	p.interest, p.store.instances = make(map[string]map[string]bool), make(map[string]instanceEntry)
 	// Publish the list together with the new incarnation: followers take the list of a full snapshot as complete and
 	// remove every endpoint that it lacks.
-	b.setInstances(records, listedTo)
-	b.wakeAll()
+	p.setInstances(records, listedTo)
+	p.wakeAll()
 }
 
 // end ends the publication; open questions fail with peer.ErrNotHolder.
-func (b *publication) end() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.incarnation, b.until, b.collecting = "", time.Time{}, false
-	b.wakeAll()
+func (p *publication) end() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.incarnation, p.until, p.collecting = "", time.Time{}, false
+	p.wakeAll()
 }
 
 // extend sets until when orders may be sent.
-func (b *publication) extend(until time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.until = until
+func (p *publication) extend(until time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.until = until
 }
 
 // mayOrder reports whether an order under a fence may be sent at now.
-func (b *publication) mayOrder(fence uint64, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.incarnation != "" && b.fence == fence && now.Before(b.until)
+func (p *publication) mayOrder(fence uint64, now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.incarnation != "" && p.fence == fence && now.Before(p.until)
 }
 
 // update publishes what the planner knows of the engines, and assumed for engines that the planner knows nothing of.
 // It returns the engines whose pools changed; changed also covers the expected ready times.
-func (b *publication) update(p *placement.Planner, assumed map[string][]string, nodes int, now time.Time) (engines []string, changed bool) {
-	serving := p.Serving(now)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	news := make(map[string]bool)
-	next := b.version + 1
+func (p *publication) update(planner *placement.Planner, assumed map[string][]string, nodes int, now time.Time) (engines []string, changed bool) {
+	serving := planner.Serving(now)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	changedPools := make(map[string]bool)
+	next := p.version + 1
 	for id, units := range serving {
-		if old, ok := b.serving[id]; ok && old.units != nil && slices.Equal(old.units, units) {
+		if old, ok := p.serving[id]; ok && old.units != nil && slices.Equal(old.units, units) {
 			continue
 		}
 		pools := make([]string, 0, len(units))
 		for _, u := range units {
 			pools = append(pools, u.Pool())
 		}
-		engines = b.setServing(engines, id, servingEntry{units, pools, next}, news)
+		engines = p.setServing(engines, id, servingEntry{units, pools, next}, changedPools)
 	}
 	for id, pools := range assumed {
 		if _, known := serving[id]; !known {
-			engines = b.setServing(engines, id, servingEntry{nil, pools, next}, news)
+			engines = p.setServing(engines, id, servingEntry{nil, pools, next}, changedPools)
 		}
 	}
-	for id := range b.serving {
+	for id := range p.serving {
 		if _, ok := serving[id]; ok {
 			continue
 		}
 		if _, ok := assumed[id]; !ok {
-			delete(b.serving, id)
-			b.removedAt[id] = next
+			delete(p.serving, id)
+			p.removedAt[id] = next
 			engines = append(engines, id)
 		}
 	}
-	if b.setReadyAt(p.ReadyAt()) {
-		b.readyVersion = next
+	if p.setReadyAt(planner.ReadyAt()) {
+		p.readyVersion = next
 		changed = true
-		for pool := range b.readyAt {
-			news[pool] = true
+		for pool := range p.readyAt {
+			changedPools[pool] = true
 		}
 	}
-	b.nodes = nodes
+	p.nodes = nodes
 	changed = changed || len(engines) > 0
 	if changed {
-		b.wake(news)
+		p.wake(changedPools)
 	}
 	return engines, changed
 }
 
 // setServing sets what an engine serves. If its pools changed, it appends the engine to engines and the pools to
-// news. The caller holds b.mu.
-func (b *publication) setServing(engines []string, id string, sh servingEntry, news map[string]bool) []string {
-	old, ok := b.serving[id]
+// changedPools. The caller holds p.mu.
+func (p *publication) setServing(engines []string, id string, sh servingEntry, changedPools map[string]bool) []string {
+	old, ok := p.serving[id]
 	if ok && slices.Equal(old.pools, sh.pools) {
 		sh.version = old.version
-		b.serving[id] = sh
+		p.serving[id] = sh
 		return engines
 	}
 	for _, pool := range sh.pools {
-		news[pool] = true
+		changedPools[pool] = true
 	}
-	b.serving[id] = sh
-	delete(b.removedAt, id)
+	p.serving[id] = sh
+	delete(p.removedAt, id)
 	return append(engines, id)
 }
 
 // readySlack is by how much an expected ready time must move to be published again.
 const readySlack = 150 * time.Millisecond
 
-func (b *publication) setReadyAt(ready map[placement.Unit]time.Time) bool {
-	news := len(ready) != len(b.readyAt)
+func (p *publication) setReadyAt(ready map[placement.Unit]time.Time) bool {
+	changed := len(ready) != len(p.readyAt)
 	for u, at := range ready {
-		old, ok := b.readyAt[u.Pool()]
+		old, ok := p.readyAt[u.Pool()]
 		if d := at.Sub(old); !ok || d > readySlack || d < -readySlack {
-			news = true
+			changed = true
 		}
 	}
-	if news {
-		b.readyAt = make(map[string]time.Time, len(ready))
+	if changed {
+		p.readyAt = make(map[string]time.Time, len(ready))
 		for u, at := range ready {
-			b.readyAt[u.Pool()] = at
+			p.readyAt[u.Pool()] = at
 		}
 	}
-	return news
+	return changed
 }
 
 // setSuccessor sets which node should take the lease next.
-func (b *publication) setSuccessor(node string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.successor = node
+func (p *publication) setSuccessor(node string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.successor = node
 }
 
 // setPeers sets the addresses of nodes that followers may ask for the lease holder.
-func (b *publication) setPeers(addresses []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if slices.Equal(b.peers, addresses) {
+func (p *publication) setPeers(addresses []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if slices.Equal(p.peers, addresses) {
 		return
 	}
-	b.wake(nil)
-	b.peers, b.peersVersion = addresses, b.version
+	p.wake(nil)
+	p.peers, p.peersVersion = addresses, p.version
 }
 
 // setHolderLostStore sets whether the store does not answer the lease holder.
-func (b *publication) setHolderLostStore(doubt bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.holderLostStore != doubt {
-		b.holderLostStore = doubt
-		b.wakeAll()
+func (p *publication) setHolderLostStore(lost bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.holderLostStore != lost {
+		p.holderLostStore = lost
+		p.wakeAll()
 	}
 }
 
 // setSuspects wakes all followers if version is newer than the records of suspected requests published so far.
-func (b *publication) setSuspects(version uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.raise(&b.suspects, version)
+func (p *publication) setSuspects(version uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.raiseVersion(&p.suspectsVersion, version)
 }
 
 // setSignals wakes all followers if version is newer than the endpoints' signals published so far.
-func (b *publication) setSignals(version uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.raise(&b.signals, version)
+func (p *publication) setSignals(version uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.raiseVersion(&p.signalsVersion, version)
 }
 
-// raise advances *of to version and wakes all followers. The caller holds b.mu.
-func (b *publication) raise(of *uint64, version uint64) {
-	if version > *of && b.incarnation != "" {
+// raiseVersion advances *of to version and wakes all followers. The caller holds p.mu.
+func (p *publication) raiseVersion(of *uint64, version uint64) {
+	if version > *of && p.incarnation != "" {
 		*of = version
-		b.wakeAll()
+		p.wakeAll()
 	}
 }
 
 // setInterest records the pools for which a node's requests wait, so that their changes are sent to it at once.
-func (b *publication) setInterest(node string, uses []peer.Use) {
+func (p *publication) setInterest(node string, uses []peer.Use) {
 	pools := make(map[string]bool)
 	for _, u := range uses {
 		if u.Waiting > 0 {
 			pools[u.Pool] = true
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.incarnation != "" {
-		b.interest[node] = pools
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.incarnation != "" {
+		p.interest[node] = pools
 	}
 }
--- a/internal/placer/publish.go
+++ b/internal/placer/publish.go
@@ -138,10 +138,10 @@
 }
 
 // pools returns the pools that are published for an engine.
-func (b *publication) pools(engine string) ([]string, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	sh, ok := b.serving[engine]
+func (p *publication) pools(engine string) ([]string, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	sh, ok := p.serving[engine]
 	return sh.pools, ok
 }
 
--- a/internal/placer/quota.go
+++ b/internal/placer/quota.go
@@ -37,73 +37,73 @@
 	idleDroppedAt time.Time
 }
 
-// dropIdle drops the accounts that are no longer used, once per forgetEvery. The caller holds c.mu.
-func (c *quotas) dropIdle(now time.Time) {
-	if now.Sub(c.idleDroppedAt) < forgetEvery {
+// dropIdle drops the accounts that are no longer used, once per forgetEvery. The caller holds q.mu.
+func (q *quotas) dropIdle(now time.Time) {
+	if now.Sub(q.idleDroppedAt) < forgetEvery {
 		return
 	}
-	c.idleDroppedAt = now
-	c.allowance.ForgetIdle(now)
-	if c.granter != nil {
-		c.granter.ForgetIdle(now)
+	q.idleDroppedAt = now
+	q.allowance.ForgetIdle(now)
+	if q.granter != nil {
+		q.granter.ForgetIdle(now)
 	}
 }
 
-func (c *quotas) init(life string, tolerance quota.Tolerance) {
-	c.tolerance, c.allowance = tolerance, quota.NewPurse(life, tolerance)
+func (q *quotas) init(incarnation string, tolerance quota.Tolerance) {
+	q.tolerance, q.allowance = tolerance, quota.NewPurse(incarnation, tolerance)
 }
 
 // begin makes this node the granter. known is the number of nodes under the previous lease holder, as far as this
 // node knows.
-func (c *quotas) begin(known int, now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.granter = quota.NewGranter(c.tolerance, max(known, c.allowance.Members()), now)
+func (q *quotas) begin(known int, now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.granter = quota.NewGranter(q.tolerance, max(known, q.allowance.Members()), now)
 }
 
 // end stops granting at this node.
-func (c *quotas) end() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.granter = nil
+func (q *quotas) end() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.granter = nil
 }
 
-// noteReport records a node's report to this lease holder. alone is true if the node is partitioned and spends its
+// noteReport records a node's report to this lease holder. partitioned is true if the node spends its
 // own share of the limits.
-func (c *quotas) noteReport(node string, alone bool, now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.granter != nil {
-		c.granter.Heard(node, alone, now)
+func (q *quotas) noteReport(node string, partitioned bool, now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.granter != nil {
+		q.granter.Heard(node, partitioned, now)
 	}
 }
 
 // partitioned reports whether this node gets no answers from the lease holder and spends its own share of the limits.
-func (c *quotas) partitioned() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.allowance.Alone()
+func (q *quotas) partitioned() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.allowance.Alone()
 }
 
 // members returns over how many nodes the limits are divided, as far as this node knows.
-func (c *quotas) members(now time.Time) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.granter != nil {
-		return c.granter.Members(now)
+func (q *quotas) members(now time.Time) int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.granter != nil {
+		return q.granter.Members(now)
 	}
-	return c.allowance.Members()
+	return q.allowance.Members()
 }
 
 // dropRemovedCustomers drops the accounts of customers that the configuration no longer contains. customer reports
 // whether it contains one.
-func (c *quotas) dropRemovedCustomers(customer func(name string) bool) {
-	known := func(account string) bool { return strings.HasPrefix(account, endpointPrefix) || customer(account) }
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.allowance.Forget(known)
-	if c.granter != nil {
-		c.granter.Forget(known)
+func (q *quotas) dropRemovedCustomers(customer func(name string) bool) {
+	keep := func(account string) bool { return strings.HasPrefix(account, endpointPrefix) || customer(account) }
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.allowance.Forget(keep)
+	if q.granter != nil {
+		q.granter.Forget(keep)
 	}
 }
 
@@ -113,23 +113,23 @@
 	if err := q.Check(); err != nil {
 		return nil, err
 	}
-	k, now := &c.quotas, c.o.Clock.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.granter == nil {
+	qs, now := &c.quotas, c.o.Clock.Now()
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
+	if qs.granter == nil {
 		return nil, peer.ErrNotHolder
 	}
 	// The node stops spending its own share when it receives this answer.
-	k.granter.Heard(q.Node, false, now)
-	a := &peer.Credit{Members: k.granter.Members(now)}
+	qs.granter.Heard(q.Node, false, now)
+	a := &peer.Credit{Members: qs.granter.Members(now)}
 	switch {
 	case q.Endpoint != "":
-		life := signal.Life{Endpoint: q.Endpoint, Start: q.Born}
-		account, bound := endpointAccount(life), quota.OfEndpoint(q.Limit, a.Members)
+		incarnation := signal.Life{Endpoint: q.Endpoint, Start: q.Born}
+		account, bound := endpointAccount(incarnation), quota.OfEndpoint(q.Limit, a.Members)
 		if q.Cold {
-			account, bound = coldAccount(life), c.o.Cold.OfCold(q.Limit, a.Members)
+			account, bound = coldAccount(incarnation), c.o.Cold.OfCold(q.Limit, a.Members)
 		}
-		answer := k.granter.AskBound(account, bound, q.Need, q.Ahead, now)
+		answer := qs.granter.AskBound(account, bound, q.Need, q.Ahead, now)
 		a.Granted, a.AfterMs = answer.Granted, roundUp(answer.After)
 		return a, nil
 	case q.Customer == "":
@@ -140,7 +140,7 @@
 		a.Unknown = true
 		return a, nil
 	}
-	answer := k.granter.Ask(q.Customer, t.Customer(q.Customer).Limit, q.Need, q.Ahead, now)
+	answer := qs.granter.Ask(q.Customer, t.Customer(q.Customer).Limit, q.Need, q.Ahead, now)
 	a.Granted, a.AfterMs = answer.Granted, roundUp(answer.After)
 	return a, nil
 }
@@ -148,27 +148,27 @@
 // askForGrant asks the lease holder, which may be this node, and records in the allowance whether it answered. ok is
 // false if it did not.
 func (c *Controller) askForGrant(ctx context.Context, q *peer.CreditQuestion) (*peer.Credit, bool) {
-	k := &c.quotas
+	qs := &c.quotas
 	sent := c.o.Clock.Now()
 	a, err := askHolder(ctx, c, q, c.Credit, c.o.Peers.Credit)
 	now := c.o.Clock.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
 	if err != nil {
 		if ctx.Err() != nil {
 			// The caller cancelled the request, which says nothing about the lease holder.
 			return nil, false
 		}
-		if !k.allowance.Alone() {
+		if !qs.allowance.Alone() {
 			c.o.Logger.Info("no answer on customers' limits, this node spends its own share", "holder", c.holderState.target().Holder, "error", err.Error())
 		}
-		k.allowance.Lost(sent, now)
+		qs.allowance.Lost(sent, now)
 		return nil, false
 	}
-	if k.allowance.Alone() {
+	if qs.allowance.Alone() {
 		c.o.Logger.Info("answers on customers' limits regained", "nodes", a.Members)
 	}
-	k.allowance.Heard(sent, a.Members)
+	qs.allowance.Heard(sent, a.Members)
 	return a, true
 }
 
@@ -188,8 +188,8 @@
 	return there(ctx, h.Address, q)
 }
 
-// Charge charges need to the limit of a customer. It asks the lease holder for a grant if the amount held here does
-// not suffice; the decision says whether the request may pass, and otherwise when to retry.
+// Charge charges need, in units of the limit, to a customer. It asks the lease holder for a grant if the amount held
+// by this node does not suffice. The decision says whether the request may pass, and otherwise when to retry.
 func (c *Controller) Charge(ctx context.Context, of *customer.Customer, need float64) quota.Decision {
 	if !of.Limit.Limited() {
 		return quota.Decision{}
@@ -201,9 +201,9 @@
 // because it is cold. limit is the reported capacity in requests per second. It returns 0 if the request may be sent,
 // otherwise the time after which to ask again.
 func (c *Controller) ChargeEndpoint(ctx context.Context, e view.Endpoint, limit float64) time.Duration {
-	life, nodes := signal.Life{Endpoint: e.Name, Start: e.Start}, int(c.memberCount.Load())
+	incarnation, nodes := signal.Life{Endpoint: e.Name, Start: e.Start}, int(c.memberCount.Load())
 	if asked := c.o.Clock.Now(); e.Cold(asked) {
-		d := c.charge(ctx, coldAccount(life), c.o.Cold.OfCold(e.ColdRate, nodes), 1, peer.CreditQuestion{Endpoint: e.Name, Born: e.Start, Limit: e.ColdRate, Cold: true})
+		d := c.charge(ctx, coldAccount(incarnation), c.o.Cold.OfCold(e.ColdRate, nodes), 1, peer.CreditQuestion{Endpoint: e.Name, Born: e.Start, Limit: e.ColdRate, Cold: true})
 		if d.Step != quota.Pass {
 			return max(time.Millisecond, d.After)
 		}
@@ -215,7 +215,7 @@
 			return 0
 		}
 	}
-	d := c.charge(ctx, endpointAccount(life), quota.OfEndpoint(limit, nodes), 1, peer.CreditQuestion{Endpoint: e.Name, Born: e.Start, Limit: limit})
+	d := c.charge(ctx, endpointAccount(incarnation), quota.OfEndpoint(limit, nodes), 1, peer.CreditQuestion{Endpoint: e.Name, Born: e.Start, Limit: limit})
 	if d.Step == quota.Pass {
 		return 0
 	}
@@ -242,32 +242,33 @@
 	return int64(math.Ceil(float64(d) / float64(time.Millisecond)))
 }
 
-// charge charges need to an account under a bound, from the amount held here or by sending q to the lease holder.
+// charge charges need to an account under a bound, from the amount held by this node or by a grant that it asks the
+// lease holder for with q.
 func (c *Controller) charge(ctx context.Context, account string, of quota.Bound, need float64, q peer.CreditQuestion) quota.Decision {
-	k := &c.quotas
+	qs := &c.quotas
 	sent := c.o.Clock.Now()
-	k.mu.Lock()
-	d := k.allowance.TakeBound(account, of, need, sent)
-	q.Node, q.Alone, q.Need, q.Ahead = c.o.Self.Holder, k.allowance.Alone(), need, d.Ahead
-	k.mu.Unlock()
+	qs.mu.Lock()
+	d := qs.allowance.TakeBound(account, of, need, sent)
+	q.Node, q.Alone, q.Need, q.Ahead = c.o.Self.Holder, qs.allowance.Alone(), need, d.Ahead
+	qs.mu.Unlock()
 	if d.Step != quota.AskFor {
 		return d
 	}
 	a, ok := c.askForGrant(ctx, &q)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
 	now := c.o.Clock.Now()
 	switch {
 	case !ok:
-		d = k.allowance.TakeBound(account, of, need, now)
+		d = qs.allowance.TakeBound(account, of, need, now)
 	case a.Unknown:
 		// This node and the lease holder have different configurations, one of which is about to change.
 		d = quota.Decision{Step: quota.Unknown, After: probeEvery}
 	case a.Granted < need:
 		d = quota.Decision{Step: quota.Over, After: time.Duration(a.AfterMs) * time.Millisecond}
-		k.allowance.Refused(account, need, d.After, now)
+		qs.allowance.Refused(account, need, d.After, now)
 	default:
-		k.allowance.Granted(account, a.Granted, need, sent)
+		qs.allowance.Granted(account, a.Granted, need, sent)
 		return quota.Decision{}
 	}
 	if d.Step == quota.AskFor {
@@ -276,40 +277,40 @@
 	return d
 }
 
-// GiveBack refunds what was charged at a time for a request that certainly has not run.
+// GiveBack refunds an amount that was charged at a time to an account, for a request that certainly has not run.
 func (c *Controller) GiveBack(name string, amount float64, charged time.Time) {
-	k, now := &c.quotas, c.o.Clock.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.allowance.GiveBack(name, amount, charged, now)
+	qs, now := &c.quotas, c.o.Clock.Now()
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
+	qs.allowance.GiveBack(name, amount, charged, now)
 }
 
 // probeQuotaHolder asks the lease holder, once per probeEvery, whether it answers while this node spends its own
 // share of the limits, and while it does not yet know the number of nodes.
 func (c *Controller) probeQuotaHolder(ctx context.Context, now time.Time) {
-	k := &c.quotas
+	qs := &c.quotas
 	if c.held {
-		k.noteReport(c.o.Self.Holder, false, now)
+		qs.noteReport(c.o.Self.Holder, false, now)
 	}
 	t := c.table.Load()
-	keyed := t != nil && t.Keyed()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.dropIdle(now)
-	if !keyed && !k.allowance.Alone() {
+	limited := t != nil && t.Keyed()
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
+	qs.dropIdle(now)
+	if !limited && !qs.allowance.Alone() {
 		// Without customers' limits, nothing needs to be known in advance: limits of endpoints are asked for with
 		// each request.
 		return
 	}
-	if k.probing || !k.allowance.Alone() && k.allowance.Members() > 0 || now.Sub(k.probed) < probeEvery {
+	if qs.probing || !qs.allowance.Alone() && qs.allowance.Members() > 0 || now.Sub(qs.probed) < probeEvery {
 		return
 	}
-	k.probed, k.probing = now, true
+	qs.probed, qs.probing = now, true
 	q := &peer.CreditQuestion{Node: c.o.Self.Holder, Alone: true}
 	go func() {
 		_, _ = c.askForGrant(ctx, q)
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.probing = false
+		qs.mu.Lock()
+		defer qs.mu.Unlock()
+		qs.probing = false
 	}()
 }
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -13,7 +13,7 @@
 		want  int64
 	}{{0, 0}, {time.Nanosecond, 1}, {time.Millisecond, 1}, {1200 * time.Microsecond, 2}} {
 		if got := roundUp(tt.after); got != tt.want {
-			t.Errorf("%v is told as %d ms, want %d", tt.after, got, tt.want)
+			t.Errorf("roundUp(%v) = %d ms, want %d", tt.after, got, tt.want)
 		}
 	}
 }
--- a/internal/placer/readers.go
+++ b/internal/placer/readers.go
@@ -53,7 +53,7 @@
 	read     func(ctx context.Context, from uint64, wait time.Duration) (logstore.Page[T], error)
 	// apply returns the message to the owner for a page; full is true for a full read, and asked is when the read was
 	// sent.
-	apply func(page logstore.Page[T], whole bool, asked time.Time) message
+	apply func(page logstore.Page[T], full bool, asked time.Time) message
 	// idle reports whether the topic need not be read now.
 	idle func() bool
 }
@@ -62,14 +62,14 @@
 	s := c.o.Store
 	go follow(ctx, c, reader[logstore.Config]{
 		name: "configuration", readFull: s.NewestConfig, read: s.Configs, idle: c.skipsStoreReads,
-		apply: func(p logstore.Page[logstore.Config], whole bool, asked time.Time) message {
-			return configPage{p, whole, asked}
+		apply: func(p logstore.Page[logstore.Config], full bool, asked time.Time) message {
+			return configPage{p, full, asked}
 		},
 	})
 	go follow(ctx, c, reader[logstore.Instance]{
 		name: "endpoints", holderInterval: c.timing.instancesEvery, ownInterval: c.timing.ownInstancesEvery, readFull: s.NewestInstances, read: s.Instances, idle: c.skipsStoreReads,
-		apply: func(p logstore.Page[logstore.Instance], whole bool, _ time.Time) message {
-			return instancePage{p, whole}
+		apply: func(p logstore.Page[logstore.Instance], full bool, _ time.Time) message {
+			return instancePage{p, full}
 		},
 	})
 	go follow(ctx, c, reader[logstore.Verdict]{
@@ -97,7 +97,7 @@
 // reader was idle.
 func follow[T any](ctx context.Context, c *Controller, r reader[T]) {
 	var next uint64
-	whole, well, pause := r.readFull != nil, true, retryPause
+	full, available, pause := r.readFull != nil, true, retryPause
 	silence := c.timing.silenceTimeout
 	// The first read does not wait at the store. Otherwise a node would notice a free lease two seconds late, and all
 	// nodes would read the store themselves until then.
@@ -106,57 +106,57 @@
 	for ctx.Err() == nil {
 		if r.idle() || !r.retriesInOutage && c.storeHealth.unavailable() {
 			// Records may have been missed; a full read also contains what engines hold.
-			whole = r.readFull != nil
+			full = r.readFull != nil
 			c.pause(ctx, tickEvery)
 			continue
 		}
 		started := c.o.Clock.Now()
-		whole = whole || r.readFull != nil && era.rereadDue(started)
+		full = full || r.readFull != nil && era.rereadDue(started)
 		wait, slack := c.readWait()
 		switch {
-		case whole:
+		case full:
 			wait, slack = 0, silence
 		case first:
 			wait = 0
 		}
-		page, err := readOnce(ctx, c.o.Clock, r, next, whole, wait, slack)
+		page, err := readOnce(ctx, c.o.Clock, r, next, full, wait, slack)
 		var failed *logstore.Error
 		switch {
 		case err == nil:
-			if !well {
+			if !available {
 				c.o.Logger.Info("store available again", "topic", r.name, "next", page.Next)
 			}
-			well, pause, silence, first = true, retryPause, c.timing.silenceTimeout, false
+			available, pause, silence, first = true, retryPause, c.timing.silenceTimeout, false
 			if r.retriesInOutage {
 				c.storeHealth.succeeded(started)
 				c.inbox.Send(ctx, leaseReadSucceeded{})
 			}
-			if back := era.enter(page.Next, c.o.Clock.Now()); back {
+			if restored := era.enter(page.Next, c.o.Clock.Now()); restored {
 				c.inbox.Send(ctx, storeRestored{r.name, next, position.Begin(position.Era(page.Next))})
 			}
 			c.countSkipped(r.name, page.Damaged)
-			if !c.inbox.Send(ctx, r.apply(page, whole, started)) {
+			if !c.inbox.Send(ctx, r.apply(page, full, started)) {
 				return
 			}
-			next, whole = page.Next, false
+			next, full = page.Next, false
 		case errors.As(err, &failed) && failed.Kind == logstore.Dropped:
 			c.o.Logger.Info("records dropped by the store", "topic", r.name, "from", next, "first", failed.First)
 			if failed.First <= next {
 				// No record has been written at that position yet.
 				c.pause(ctx, retryPause)
 			}
-			next, whole = failed.First, r.readFull != nil
+			next, full = failed.First, r.readFull != nil
 			continue
 		case errors.As(err, &failed) && failed.Kind == logstore.PutBack:
 			era.enter(failed.First, c.o.Clock.Now())
 			c.inbox.Send(ctx, storeRestored{r.name, next, failed.First})
-			next, whole = failed.First, r.readFull != nil
+			next, full = failed.First, r.readFull != nil
 			continue
 		default:
-			if well {
+			if available {
 				c.o.Logger.Warn("store unavailable", "topic", r.name, "error", err.Error())
 			}
-			well = false
+			available = false
 			if r.retriesInOutage {
 				c.storeHealth.failed(started)
 			}
@@ -195,17 +195,17 @@
 
 // enter records the position read up to, and reports whether the store was restored since the previous one. After a
 // restore a full read becomes due once the store's writers have had rewriteGrace.
-func (e *readerEra) enter(p position.Position, now time.Time) (back bool) {
+func (e *readerEra) enter(p position.Position, now time.Time) (restored bool) {
 	era := position.Era(p)
 	if e.read && era <= e.era {
 		return false
 	}
-	back = e.read
+	restored = e.read
 	e.read, e.era = true, era
 	if era > 0 {
 		e.rereadAt = now.Add(rewriteGrace)
 	}
-	return back
+	return restored
 }
 
 // rereadDue reports, once, that a full read is due.
@@ -217,8 +217,8 @@
 	return due
 }
 
-func readOnce[T any](ctx context.Context, clock clockwork.Clock, r reader[T], next uint64, whole bool, wait, slack time.Duration) (logstore.Page[T], error) {
-	if whole {
+func readOnce[T any](ctx context.Context, clock clockwork.Clock, r reader[T], next uint64, full bool, wait, slack time.Duration) (logstore.Page[T], error) {
+	if full {
 		ctx, cancel := boottime.WithTimeout(ctx, clock, fullReadTimeout)
 		defer cancel()
 		return r.readFull(ctx, slack)
@@ -275,7 +275,7 @@
 
 type configPage struct {
 	page  logstore.Page[logstore.Config]
-	whole bool
+	full  bool
 	asked time.Time
 }
 
@@ -288,7 +288,7 @@
 			}
 		}
 	}
-	c.applyEvacuationRecords(m.page, m.whole)
+	c.applyEvacuationRecords(m.page, m.full)
 	if c.confirmsNewest(m) {
 		c.confirmConfig(m.asked)
 	}
@@ -314,37 +314,37 @@
 }
 
 type instancePage struct {
-	page  logstore.Page[logstore.Instance]
-	whole bool
+	page logstore.Page[logstore.Instance]
+	full bool
 }
 
 func (m instancePage) handle(c *Controller) {
 	now := c.o.Clock.Now()
 	c.enterEra(position.Era(m.page.Next), now)
-	if m.whole && c.listed && !c.rewriteGraceOver(now) {
+	if m.full && c.listed && !c.rewriteGraceOver(now) {
 		// The store was restored from a backup, and this node's state is newer. What is written again is read later.
 		c.published.instancesRead(now)
 		return
 	}
-	news := &listChanges{source: "store"}
-	if m.whole {
+	changes := &listChanges{source: "store"}
+	if m.full {
 		list := make([]directory.Record, 0, len(m.page.Records))
 		for _, r := range m.page.Records {
 			list = append(list, c.directoryRecord(r))
 		}
-		c.directory.Replace(list, m.page.Next, now, news.add)
+		c.directory.Replace(list, m.page.Next, now, changes.add)
 		c.listed = true
 	} else {
 		for _, r := range m.page.Records {
 			rec := c.directoryRecord(r)
 			if change := c.directory.Apply(rec, now); change != directory.Unchanged {
-				news.add(rec, change)
+				changes.add(rec, change)
 			}
 		}
 	}
 	c.listedTo = max(c.listedTo, m.page.Next)
-	c.applyListChanges(news)
-	if m.whole || len(news.changes) > 0 {
+	c.applyListChanges(changes)
+	if m.full || len(changes.changes) > 0 {
 		c.listChanged(now)
 		if c.held {
 			// Before instancesRead: the published list must contain everything up to the time that it claims.
@@ -384,26 +384,26 @@
 const maxListLogLines = 16
 
 // add adds one change.
-func (n *listChanges) add(r directory.Record, change directory.Change) {
-	n.changes = append(n.changes, listChange{r, change})
+func (l *listChanges) add(r directory.Record, change directory.Change) {
+	l.changes = append(l.changes, listChange{r, change})
 }
 
 // applyListChanges marks the changed endpoints, informs the guard and logs the changes.
-func (c *Controller) applyListChanges(n *listChanges) {
+func (c *Controller) applyListChanges(changes *listChanges) {
 	gone := 0
-	for i := range n.changes {
-		r := &n.changes[i]
+	for i := range changes.changes {
+		r := &changes.changes[i]
 		c.touch(r.ID)
 		c.updateGuard(r.Record)
 		if r.Instance == nil {
 			gone++
 		}
-		if len(n.changes) <= maxListLogLines {
+		if len(changes.changes) <= maxListLogLines {
 			c.logEntry(r.Record, r.change)
 		}
 	}
-	if len(n.changes) > maxListLogLines {
-		c.o.Logger.Info("endpoints changed", "changed", len(n.changes), "gone", gone, "listedTo", position.Offset(c.listedTo), "by", n.source)
+	if len(changes.changes) > maxListLogLines {
+		c.o.Logger.Info("endpoints changed", "changed", len(changes.changes), "gone", gone, "listedTo", position.Offset(c.listedTo), "by", changes.source)
 	}
 }
 
--- a/internal/placer/restore_test.go
+++ b/internal/placer/restore_test.go
@@ -92,16 +92,16 @@
 	clock.Advance(time.Second)
 	instancePage{page(1, "a"), true}.handle(c)
 	if diff := cmp.Diff([]string{"a", "b"}, live(c)); diff != "" {
-		t.Errorf("just after the return (-want +got):\n%s", diff)
+		t.Errorf("just after the restore (-want +got):\n%s", diff)
 	}
 	if e := c.directory.Live(clock.Now())[0]; !e.Draining {
-		t.Error("the copy undid a drain")
+		t.Error("the backup undid a drain")
 	}
 	clock.Advance(rewriteGrace)
 	instancePage{page(1, "a"), true}.handle(c)
 	clock.Advance(time.Minute)
 	if diff := cmp.Diff([]string{"a"}, live(c)); diff != "" {
-		t.Errorf("once judged anew (-want +got):\n%s", diff)
+		t.Errorf("after the grace period (-want +got):\n%s", diff)
 	}
 }
 
--- a/internal/placer/returned_test.go
+++ b/internal/placer/returned_test.go
@@ -20,30 +20,30 @@
 	}
 	gone := directory.Record{ID: "i-0", Version: 2}
 	holder, follower := directory.New(), directory.New()
-	var b publication
-	b.init()
+	var p publication
+	p.init()
 	holder.Apply(entry(1), now)
-	b.begin("h-1", 1, 2, holder.Records(now), 1)
+	p.begin("h-1", 1, 2, holder.Records(now), 1)
 	q := peer.Question{Node: "n"}
-	hear := func() {
-		s, _, _ := b.snapshot(q, now)
+	fetch := func() {
+		s, _, _ := p.snapshot(q, now)
 		for _, r := range s.Instances {
 			r.Relayed = true
 			follower.Apply(r, now)
 		}
 		q.Life, q.Version = s.Life, s.Version
 	}
-	hear()
+	fetch()
 	holder.StoreAway(now)
 	holder.Apply(gone, now)
-	b.publishInstances(holder.Records(now), 2)
+	p.publishInstances(holder.Records(now), 2)
 	follower.Apply(gone, now)
-	hear()
+	fetch()
 	holder.Apply(entry(3), now)
-	b.publishInstances(holder.Records(now), 3)
-	hear()
+	p.publishInstances(holder.Records(now), 3)
+	fetch()
 	if n := len(follower.Live(now)); n != 1 {
-		t.Errorf("the node knows %d endpoints, want the one that is back", n)
+		t.Errorf("the node knows %d endpoints, want the one whose entry was written again", n)
 	}
 }
 
@@ -54,10 +54,10 @@
 	d := newPeerControllers(clock, "h", "n")
 	h, n := d.nodes["h"], d.nodes["n"]
 	q := peer.Question{Node: "n"}
-	hear := func() {
+	fetch := func() {
 		s, _, ok := h.published.snapshot(q, clock.Now())
 		if !ok {
-			t.Fatal("it does not hold the lease")
+			t.Fatal("the node does not hold the lease")
 		}
 		n.applyRelayed(s, clock.Now(), snapshotReceived{s: s, madeAt: clock.Now()})
 		q.Life, q.Version = s.Life, s.Version
@@ -65,13 +65,13 @@
 	h.directory.Apply(directory.Record{ID: "i-0", Version: 1, Instance: &directory.Instance{ID: "i-0", Start: 1, Service: "s"}}, clock.Now())
 	h.listedTo = 1
 	h.beginTerm(1, clock.Now())
-	hear()
+	fetch()
 	h.published.end()
 	h.directory.Apply(directory.Record{ID: "i-0", Version: 2}, clock.Now())
 	h.listedTo = 2
 	h.beginTerm(1, clock.Now())
-	hear()
+	fetch()
 	if live := n.directory.Live(clock.Now()); len(live) != 0 {
-		t.Errorf("the node still knows %d endpoints", len(live))
+		t.Errorf("the node still knows %d endpoints, want none", len(live))
 	}
 }
--- a/internal/placer/signals.go
+++ b/internal/placer/signals.go
@@ -28,11 +28,11 @@
 func (c *Controller) limitEngines() {
 	capacities := c.o.Dispatcher.Capacities()
 	c.planner.SetLimits(func(engine string, start directory.Start) float64 {
-		named, cold := capacities.Of(signal.Life{Endpoint: engine, Start: int64(start)}), c.halls.coldRates[engine]
-		if named > 0 && cold > 0 {
-			return min(named, cold)
+		reported, cold := capacities.Of(signal.Life{Endpoint: engine, Start: int64(start)}), c.halls.coldRates[engine]
+		if reported > 0 && cold > 0 {
+			return min(reported, cold)
 		}
-		return max(named, cold)
+		return max(reported, cold)
 	})
 }
 
@@ -61,15 +61,15 @@
 }
 
 // mergeSignals merges endpoints' signals received from another node, and reports whether any was new.
-func (c *Controller) mergeSignals(told []peer.Signal, by string, now time.Time) bool {
-	if len(told) == 0 {
+func (c *Controller) mergeSignals(signals []peer.Signal, by string, now time.Time) bool {
+	if len(signals) == 0 {
 		return false
 	}
-	words := peer.Words(told, now)
-	for i := range words {
-		words[i].By = by
+	entries := peer.Words(signals, now)
+	for i := range entries {
+		entries[i].By = by
 	}
-	changes := c.o.Dispatcher.MergeSignals(words)
+	changes := c.o.Dispatcher.MergeSignals(entries)
 	for i := range changes {
 		c.logSignal(&changes[i], by)
 	}
@@ -82,17 +82,17 @@
 }
 
 // reportSignals adds the signals that the lease holder lacks to a report, and returns the version that they reach.
-// life is the lease holder's incarnation.
-func (c *Controller) reportSignals(r *peer.Report, life string, now time.Time) uint64 {
-	words, to := c.o.Dispatcher.SignalsSince(c.reportAcked.of(life).signals)
-	r.Signals = peer.Signals(words, now)
+// incarnation is the lease holder's.
+func (c *Controller) reportSignals(r *peer.Report, incarnation string, now time.Time) uint64 {
+	signals, to := c.o.Dispatcher.SignalsSince(c.reportAcked.of(incarnation).signals)
+	r.Signals = peer.Signals(signals, now)
 	return to
 }
 
 // allSignals returns all endpoints' signals known here.
 func (c *Controller) allSignals(now time.Time) []peer.Signal {
-	words, _ := c.o.Dispatcher.SignalsSince(0)
-	return peer.Signals(words, now)
+	signals, _ := c.o.Dispatcher.SignalsSince(0)
+	return peer.Signals(signals, now)
 }
 
 // addSignals adds the signals that are new to the requester, and reports whether there are any.
@@ -101,7 +101,7 @@
 	if s.Whole {
 		after = 0
 	}
-	words, to := c.o.Dispatcher.SignalsSince(after)
-	s.Signals, s.SignalsTo = peer.Signals(words, now), to
-	return len(words) > 0
+	signals, to := c.o.Dispatcher.SignalsSince(after)
+	s.Signals, s.SignalsTo = peer.Signals(signals, now), to
+	return len(signals) > 0
 }
--- a/internal/placer/signals_test.go
+++ b/internal/placer/signals_test.go
@@ -18,7 +18,7 @@
 	clock := clockwork.NewFakeClock()
 	d := newPeerControllers(clock, "h", "n", "o", "p")
 	h, n, o, p := d.nodes["h"], d.nodes["n"], d.nodes["o"], d.nodes["p"]
-	life := signal.Life{Endpoint: "e1", Start: 1}
+	incarnation := signal.Life{Endpoint: "e1", Start: 1}
 	n.o.Dispatcher.Hear(endpointOf("e1"), signal.Said{Limit: 1.5, Leaving: true, Rest: 1e9}, clock.Now())
 	r := &peer.Report{Node: "n"}
 	n.reportSignals(r, "h-1", clock.Now())
@@ -28,21 +28,21 @@
 	}
 	s := &peer.Snapshot{Life: "h-1", Whole: true}
 	if !h.addSignals(s, peer.Question{}, clock.Now()) {
-		t.Error("nothing to tell")
+		t.Error("nothing to send")
 	}
 	o.mergeSignals(s.Signals, "holder", clock.Now())
 	p.exchangeWith(t.Context(), "n", exchangeMark{})
-	want := []signal.Life{life}
+	want := []signal.Life{incarnation}
 	for name, c := range d.nodes {
 		if diff := cmp.Diff(want, c.o.Dispatcher.LeavingEndpoints()); diff != "" {
-			t.Errorf("leaving endpoints known to %s (-want +got):\n%s", name, diff)
+			t.Errorf("draining endpoints known to %s (-want +got):\n%s", name, diff)
 		}
-		if got := c.o.Dispatcher.Capacities().Of(life); got <= 0 || got >= 1 {
-			t.Errorf("capacity known to %s = %v, want that of an endpoint that rests", name, got)
+		if got := c.o.Dispatcher.Capacities().Of(incarnation); got <= 0 || got >= 1 {
+			t.Errorf("capacity known to %s = %v, want that of an endpoint in backoff", name, got)
 		}
 	}
 	if h.addSignals(&peer.Snapshot{Life: "h-1"}, peer.Question{SignalsTo: s.SignalsTo}, clock.Now()) {
-		t.Error("what was told is told again")
+		t.Error("what was sent is sent again")
 	}
 }
 
@@ -58,9 +58,9 @@
 		return c.directory.Live(clock.Now())[0].Draining
 	}
 	if !draining(1, 1) || !draining(1, 2) {
-		t.Error("the life that leaves is not drained")
+		t.Error("the draining incarnation is not drained")
 	}
 	if draining(2, 3) {
-		t.Error("the next life is drained")
+		t.Error("the next incarnation is drained")
 	}
 }
--- a/internal/placer/storehealth.go
+++ b/internal/placer/storehealth.go
@@ -15,25 +15,25 @@
 }
 
 // succeeded records the answer to a call that began at a time.
-func (r *storeHealth) succeeded(begun time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if begun.After(r.lastSuccess) {
-		r.lastSuccess = begun
+func (h *storeHealth) succeeded(begun time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if begun.After(h.lastSuccess) {
+		h.lastSuccess = begun
 	}
-	r.lost = false
+	h.lost = false
 }
 
 // failed records that a call got no answer. It has no effect if a call that began later was answered.
-func (r *storeHealth) failed(begun time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lost = r.lost || begun.After(r.lastSuccess)
+func (h *storeHealth) failed(begun time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.lost = h.lost || begun.After(h.lastSuccess)
 }
 
 // unavailable reports whether the store does not answer.
-func (r *storeHealth) unavailable() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.lost
+func (h *storeHealth) unavailable() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.lost
 }
--- a/internal/placer/storestate.go
+++ b/internal/placer/storestate.go
@@ -36,40 +36,40 @@
 }
 
 // publishInstances publishes the live endpoints of the list as read up to a version.
-func (b *publication) publishInstances(records []directory.Record, listedTo uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.incarnation == "" {
+func (p *publication) publishInstances(records []directory.Record, listedTo uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.incarnation == "" {
 		// begin publishes the full list when the term begins.
 		return
 	}
-	b.setInstances(records, listedTo)
+	p.setInstances(records, listedTo)
 }
 
-func (b *publication) setInstances(records []directory.Record, listedTo uint64) {
-	next, news := b.version+1, false
-	b.feed.listedTo = max(b.feed.listedTo, listedTo)
+func (p *publication) setInstances(records []directory.Record, listedTo uint64) {
+	next, changed := p.version+1, false
+	p.store.listedTo = max(p.store.listedTo, listedTo)
 	live := make(map[string]bool, len(records))
 	for _, r := range records {
 		live[r.ID] = true
-		old, ok := b.feed.instances[r.ID]
+		old, ok := p.store.instances[r.ID]
 		if !ok || old.record.Instance == nil || old.record.Since != r.Since || !directory.SamePlace(old.record.Instance, r.Instance) ||
 			coldChanged(old.record.Instance.Cold, r.Instance.Cold) {
-			b.feed.instances[r.ID] = instanceEntry{r, next}
-			news = true
+			p.store.instances[r.ID] = instanceEntry{r, next}
+			changed = true
 			continue
 		}
 		// A heartbeat alone needs no delta. The record is stored so that full snapshots contain its latest time.
-		b.feed.instances[r.ID] = instanceEntry{r, old.version}
+		p.store.instances[r.ID] = instanceEntry{r, old.version}
 	}
-	for id, in := range b.feed.instances {
+	for id, in := range p.store.instances {
 		if !live[id] && in.record.Instance != nil {
-			b.feed.instances[id] = instanceEntry{directory.Record{ID: id, Version: listedTo, Relayed: true}, next}
-			news = true
+			p.store.instances[id] = instanceEntry{directory.Record{ID: id, Version: listedTo, Relayed: true}, next}
+			changed = true
 		}
 	}
-	if news {
-		b.wakeAll()
+	if changed {
+		p.wakeAll()
 	}
 }
 
@@ -83,33 +83,33 @@
 const coldSlack = 1500 * time.Millisecond
 
 // setConfig publishes the configuration in force.
-func (b *publication) setConfig(c *route.Config) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.feed.config = c
-	b.wakeAll()
+func (p *publication) setConfig(c *route.Config) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.store.config = c
+	p.wakeAll()
 }
 
 // configRead records that the configuration topic was read to its end.
-func (b *publication) configRead(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.feed.configAt = now
+func (p *publication) configRead(now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.store.configAt = now
 }
 
-func (b *publication) instancesRead(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.feed.instancesAt = now
+func (p *publication) instancesRead(now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.store.instancesAt = now
 }
 
 // setLease publishes the latest lease record.
-func (b *publication) setLease(rec lease.Record, offset uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.feed.lease, b.feed.leaseOffset = rec, offset
-	if !slices.Equal(rec.Nodes, b.feed.takers) {
-		b.wake(nil)
-		b.feed.takers, b.feed.takersVersion = rec.Nodes, b.version
+func (p *publication) setLease(rec lease.Record, offset uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.store.lease, p.store.leaseOffset = rec, offset
+	if !slices.Equal(rec.Nodes, p.store.takers) {
+		p.wake(nil)
+		p.store.takers, p.store.takersVersion = rec.Nodes, p.version
 	}
 }
--- a/internal/placer/timing.go
+++ b/internal/placer/timing.go
@@ -3,8 +3,8 @@
 import "time"
 
 // timing holds the intervals and timeouts derived from the bound, the time within which the platform requires a
-// changed configuration or a draining endpoint to take effect. The fractions of the bound were chosen such that a
-// bound of two seconds, that of the first deployments, held over some 800 days.
+// changed configuration or a draining endpoint to take effect. With these fractions of it, a bound of two seconds,
+// that of the first deployments, held over some 800 days.
 type timing struct {
 	// holderWait is how long the store holds a read of the lease holder open, and ownWait that of a node that reads
 	// for itself. holderWait is short, so that the relayed state is known to be fresh. Both bound how long a reader
--- a/internal/placer/turn.go
+++ b/internal/placer/turn.go
@@ -9,52 +9,53 @@
 	"olivetiller/io/peer"
 )
 
-// turns coordinates the copies of isolated requests across the fleet: the lease holder grants turns, so that only one
-// copy of such a request runs at a time. It is safe for concurrent use.
-type turns struct {
-	mu        sync.Mutex
-	byRequest *quarantine.Turns
+// runLocks holds the run locks that this node, as the lease holder, grants to copies of isolated requests, so that
+// copies of one request run one after the other across the fleet. It is safe for concurrent use.
+type runLocks struct {
+	mu    sync.Mutex
+	locks *quarantine.Turns
 }
 
-// Turn implements [peer.Holder]: it grants or takes back a turn. It returns peer.ErrNotHolder if this node does not
-// hold the lease.
+// Turn implements [peer.Holder]: it grants or releases the run lock of a request. It returns peer.ErrNotHolder if
+// this node does not hold the lease.
 func (c *Controller) Turn(q *peer.TurnQuestion) (*peer.Turn, error) {
 	if !c.leading.Load() {
 		return nil, peer.ErrNotHolder
 	}
-	t, now := &c.turns, c.o.Clock.Now()
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	l, now := &c.runLocks, c.o.Clock.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if q.Release {
-		t.byRequest.Release(q.Request, q.Run, q.Well, now)
+		l.locks.Release(q.Request, q.Run, q.Well, now)
 		return &peer.Turn{}, nil
 	}
-	after := t.byRequest.Take(q.Request, q.Run, now)
+	after := l.locks.Take(q.Request, q.Run, now)
 	if after <= 0 {
 		return &peer.Turn{}, nil
 	}
 	return &peer.Turn{AfterMs: max(1, after.Milliseconds())}, nil
 }
 
-// TakeTurn implements isolation.TurnTaker: it asks the lease holder for the turn of an isolated request and returns
-// when to ask again; 0 if the turn was granted. If the lease holder does not answer it also returns 0, and each node
-// runs such requests by its own turns only.
+// TakeTurn implements isolation.TurnTaker: it asks the lease holder for the run lock of an isolated request. It
+// returns 0 if the lock was granted, otherwise the time after which to ask again. It also returns 0 if the lease
+// holder does not answer; each node then orders its own copies only.
 func (c *Controller) TakeTurn(ctx context.Context, f quarantine.Fingerprint, run string) (after time.Duration) {
 	q := &peer.TurnQuestion{Request: f, Run: c.o.Self.Life + "/" + run}
 	a, err := askHolder(ctx, c, q, c.Turn, c.o.Peers.Turn)
 	if err != nil {
-		c.o.Logger.Info("no answer on the turn of an isolated request", "fingerprint", f.String(), "error", err.Error())
+		c.o.Logger.Info("no answer on the run lock of an isolated request", "fingerprint", f.String(), "error", err.Error())
 		return 0
 	}
 	return time.Duration(a.AfterMs) * time.Millisecond
 }
 
-// ReleaseTurn implements isolation.TurnTaker. It does not wait for the answer: a turn that is not released expires.
+// ReleaseTurn implements isolation.TurnTaker: it releases a run lock; well is true if an engine has answered the
+// request. It does not wait for the lease holder, since a lock that is not released expires.
 func (c *Controller) ReleaseTurn(f quarantine.Fingerprint, run string, well bool) {
 	q := &peer.TurnQuestion{Request: f, Run: c.o.Self.Life + "/" + run, Release: true, Well: well}
 	go func() {
 		if _, err := askHolder(context.Background(), c, q, c.Turn, c.o.Peers.Turn); err != nil {
-			c.o.Logger.Debug("turn of an isolated request not released", "fingerprint", f.String(), "error", err.Error())
+			c.o.Logger.Debug("run lock of an isolated request not released", "fingerprint", f.String(), "error", err.Error())
 		}
 	}()
 }
--- a/internal/placer/watch.go
+++ b/internal/placer/watch.go
@@ -11,48 +11,48 @@
 // watcher is an open long poll of one node.
 type watcher struct {
 	node string
-	// due is set once any news, urgent or not, ends the wait.
+	// due is set once any change, urgent or not, ends the wait.
 	due bool
-	// news has capacity 1 and holds a token while there is something to send.
-	news chan struct{}
+	// notify has capacity 1 and holds a token while there is something to send.
+	notify chan struct{}
 }
 
 // wakeUp signals the watcher without blocking.
 func (w *watcher) wakeUp() {
 	select {
-	case w.news <- struct{}{}:
+	case w.notify <- struct{}{}:
 	default:
 	}
 }
 
-// wakeAll starts a new version that every node should receive at once. The caller holds b.mu.
-func (b *publication) wakeAll() {
-	b.version++
-	b.wakeWatchers()
+// wakeAll starts a new version that every node should receive at once. The caller holds p.mu.
+func (p *publication) wakeAll() {
+	p.version++
+	p.wakeWatchers()
 }
 
-// wakeDue wakes the watchers that are due for any news. The caller holds b.mu.
-func (b *publication) wakeDue() {
-	for w := range b.watchers {
+// wakeDue wakes the watchers that are due for any change. The caller holds p.mu.
+func (p *publication) wakeDue() {
+	for w := range p.watchers {
 		if w.due {
 			w.wakeUp()
 		}
 	}
 }
 
-// wakeWatchers wakes all watchers. The caller holds b.mu.
-func (b *publication) wakeWatchers() {
-	for w := range b.watchers {
+// wakeWatchers wakes all watchers. The caller holds p.mu.
+func (p *publication) wakeWatchers() {
+	for w := range p.watchers {
 		w.wakeUp()
 	}
 }
 
 // wake starts a new version, which the nodes with requests waiting for one of the pools should receive at once and
-// the others when they are due. The caller holds b.mu.
-func (b *publication) wake(pools map[string]bool) {
-	b.version++
-	for w := range b.watchers {
-		if w.due || intersect(b.interest[w.node], pools) {
+// the others when they are due. The caller holds p.mu.
+func (p *publication) wake(pools map[string]bool) {
+	p.version++
+	for w := range p.watchers {
+		if w.due || intersect(p.interest[w.node], pools) {
 			w.wakeUp()
 		}
 	}
@@ -71,80 +71,80 @@
 }
 
 // open registers a long poll of a node, until close.
-func (b *publication) open(node string) *watcher {
-	w := &watcher{node: node, news: make(chan struct{}, 1)}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.watchers[w] = true
+func (p *publication) open(node string) *watcher {
+	w := &watcher{node: node, notify: make(chan struct{}, 1)}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.watchers[w] = true
 	return w
 }
 
-func (b *publication) close(w *watcher) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.watchers, w)
+func (p *publication) close(w *watcher) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.watchers, w)
 }
 
-// markDue marks a watcher as due for any news, and reports whether there is some since a version.
-func (b *publication) markDue(w *watcher, since uint64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// markDue marks a watcher as due for any change, and reports whether there is one since a version.
+func (p *publication) markDue(w *watcher, since uint64) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	w.due = true
-	return b.version > since
+	return p.version > since
 }
 
 // snapshot returns what has changed since the version in q, or everything if q has another incarnation or too old a
 // version. ok is false if nothing is published. urgent is true if the node should receive the snapshot at once: it
 // concerns a pool that its requests wait for, or changes the configuration, evacuations, feed plan or list of
 // endpoints.
-func (b *publication) snapshot(q peer.Question, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.incarnation == "" {
+func (p *publication) snapshot(q peer.Question, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.incarnation == "" {
 		return nil, false, false
 	}
-	s = &peer.Snapshot{Life: b.incarnation, Fence: b.fence, Version: b.version, Nodes: b.nodes, Successor: b.successor, StoreDoubt: b.holderLostStore, Whole: q.Life != b.incarnation || q.Version < b.deltasFrom}
+	s = &peer.Snapshot{Life: p.incarnation, Fence: p.fence, Version: p.version, Nodes: p.nodes, Successor: p.successor, StoreDoubt: p.holderLostStore, Whole: q.Life != p.incarnation || q.Version < p.deltasFrom}
 	after := q.Version
 	if s.Whole {
 		after = 0
 	}
-	if b.peersVersion > after {
-		s.Peers = b.peers
+	if p.peersVersion > after {
+		s.Peers = p.peers
 	}
-	if len(b.feeders) > 0 && s.Whole || b.feedersVersion > after {
-		s.Feeders = append([]feedtree.Node{}, b.feeders...)
+	if len(p.feeders) > 0 && s.Whole || p.feedersVersion > after {
+		s.Feeders = append([]feedtree.Node{}, p.feeders...)
 		urgent = true
 	}
-	if !b.holderSeenAt.IsZero() {
-		s.HolderMs = max(0, now.Sub(b.holderSeenAt)).Milliseconds()
+	if !p.holderSeenAt.IsZero() {
+		s.HolderMs = max(0, now.Sub(p.holderSeenAt)).Milliseconds()
 	}
 	if s.Whole {
-		b.fullSnapshotAt(now).fill(s)
+		p.fullSnapshotAt(now).fill(s)
 	}
-	urgent = b.addServing(s, after, b.interest[q.Node], now) || urgent
-	urgent = b.addFeed(s, q, after, now) || urgent || s.Whole
+	urgent = p.addServing(s, after, p.interest[q.Node], now) || urgent
+	urgent = p.addStoreState(s, q, after, now) || urgent || s.Whole
 	return s, urgent, true
 }
 
 // addServing adds what the engines serve and when units are expected, and reports whether that concerns a pool of
 // interest.
-func (b *publication) addServing(s *peer.Snapshot, after uint64, interest map[string]bool, now time.Time) (urgent bool) {
+func (p *publication) addServing(s *peer.Snapshot, after uint64, interest map[string]bool, now time.Time) (urgent bool) {
 	if !s.Whole {
-		urgent = b.addChanged(s, after, interest)
+		urgent = p.addChanged(s, after, interest)
 	}
-	s.ReadyInMs = make(map[string]int64, len(b.readyAt))
-	for pool, at := range b.readyAt {
+	s.ReadyInMs = make(map[string]int64, len(p.readyAt))
+	for pool, at := range p.readyAt {
 		s.ReadyInMs[pool] = max(0, at.Sub(now).Milliseconds())
-		urgent = urgent || b.readyVersion > after && interest[pool]
+		urgent = urgent || p.readyVersion > after && interest[pool]
 	}
 	return urgent
 }
 
 // addChanged adds the engines that changed or were removed after a version, and reports whether a pool of interest is
 // concerned.
-func (b *publication) addChanged(s *peer.Snapshot, after uint64, interest map[string]bool) (urgent bool) {
+func (p *publication) addChanged(s *peer.Snapshot, after uint64, interest map[string]bool) (urgent bool) {
 	s.Serving = make(map[string][]string)
-	for id, sh := range b.serving {
+	for id, sh := range p.serving {
 		if sh.version <= after {
 			continue
 		}
@@ -153,7 +153,7 @@
 			urgent = urgent || interest[pool]
 		}
 	}
-	for id, v := range b.removedAt {
+	for id, v := range p.removedAt {
 		if v > after {
 			s.Gone = append(s.Gone, id)
 		}
@@ -161,29 +161,29 @@
 	return urgent
 }
 
-// addFeed adds the state read from the store, and reports whether any of it is urgent.
-func (b *publication) addFeed(s *peer.Snapshot, q peer.Question, after uint64, now time.Time) (urgent bool) {
-	f := &b.feed
-	s.Lease, s.LeaseOffset = f.lease, f.leaseOffset
+// addStoreState adds the state read from the store, and reports whether any of it is urgent.
+func (p *publication) addStoreState(s *peer.Snapshot, q peer.Question, after uint64, now time.Time) (urgent bool) {
+	st := &p.store
+	s.Lease, s.LeaseOffset = st.lease, st.leaseOffset
 	// The list of nodes, 2 KB for 77 nodes, is sent separately and only when it changes.
 	s.Lease.Nodes = nil
-	if f.takersVersion > after {
-		s.Takers = f.takers
+	if st.takersVersion > after {
+		s.Takers = st.takers
 	}
-	if f.config != nil && f.config.Version > q.Config {
-		s.Config = f.config
+	if st.config != nil && st.config.Version > q.Config {
+		s.Config = st.config
 		urgent = true
 	}
-	if f.evacuations != nil && (s.Whole || f.evacuationsVersion > after) {
-		s.Evacuations = f.evacuations
+	if st.evacuations != nil && (s.Whole || st.evacuationsVersion > after) {
+		s.Evacuations = st.evacuations
 		urgent = true
 	}
 	if s.Whole {
-		s.AgeMs = max(now.Sub(f.configAt), now.Sub(b.full.instancesAt)).Milliseconds()
+		s.AgeMs = max(now.Sub(st.configAt), now.Sub(p.full.instancesAt)).Milliseconds()
 		return true
 	}
-	s.AgeMs, s.ListedTo = max(now.Sub(f.configAt), now.Sub(f.instancesAt)).Milliseconds(), f.listedTo
-	for _, in := range f.instances {
+	s.AgeMs, s.ListedTo = max(now.Sub(st.configAt), now.Sub(st.instancesAt)).Milliseconds(), st.listedTo
+	for _, in := range st.instances {
 		if in.version > after {
 			s.Instances = append(s.Instances, in.record)
 			urgent = true
@@ -192,18 +192,18 @@
 	return urgent
 }
 
-// Changes that are not urgent for a node are batched into one message after lazyPush, plus lazyPushPerNode for each
+// Changes that are not urgent for a node are batched into one message after pushDelay, plus pushDelayPerNode for each
 // open question, so that the work of sending stays bounded.
 const (
-	lazyPush        = 100 * time.Millisecond
-	lazyPushPerNode = 4 * time.Millisecond
+	pushDelay        = 100 * time.Millisecond
+	pushDelayPerNode = 4 * time.Millisecond
 )
 
-// snapshot returns a snapshot of b together with the age of the configuration. The age is determined first: a
-// confirmation in between may be for a newer configuration than the one in b.
-func (c *Controller) snapshot(b *publication, q peer.Question, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
+// snapshot returns a snapshot of p together with the age of the configuration. The age is determined first: a
+// confirmation in between may be for a newer configuration than the one in p.
+func (c *Controller) snapshot(p *publication, q peer.Question, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
 	age, known := c.configAge(now)
-	s, urgent, ok = b.snapshot(q, now)
+	s, urgent, ok = p.snapshot(q, now)
 	if ok && known {
 		// Rounded up, so that a removed key is not accepted any longer because of it.
 		ms := age.Milliseconds() + 1
@@ -220,7 +220,7 @@
 	}
 	// The requester took the lease holder for a feeder, and so has an outdated plan.
 	q.Orphan = q.Orphan || q.Feeder
-	if shown, opening := c.published.status(); !shown && !opening {
+	if published, collecting := c.published.status(); !published && !collecting {
 		return nil, peer.ErrNotHolder
 	}
 	w := c.published.open(q.Node)
@@ -240,9 +240,9 @@
 // watchFeeder answers a question to this node as a feeder. A question that comes before this node has fresh state
 // itself waits for it.
 func (c *Controller) watchFeeder(ctx context.Context, q peer.Question) (*peer.Snapshot, error) {
-	b := &c.relay
+	p := &c.relay
 	timeout := c.o.Clock.After(q.Wait)
-	for !b.fresh(c.o.Clock.Now()) {
+	for !p.fresh(c.o.Clock.Now()) {
 		select {
 		case <-c.o.Clock.After(tickEvery):
 		case <-timeout:
@@ -251,52 +251,52 @@
 			return nil, ctx.Err()
 		}
 	}
-	w := b.open(q.Node)
-	defer b.close(w)
-	if b.openQuestions() > maxFollowers {
+	w := p.open(q.Node)
+	defer p.close(w)
+	if p.openQuestions() > maxFollowers {
 		return nil, peer.ErrNotHolder
 	}
-	return c.answer(ctx, b, w, q)
+	return c.answer(ctx, p, w, q)
 }
 
 // maxFollowers bounds the open questions of a feeder; nodes beyond it ask another feeder.
 const maxFollowers = 4 * feedtree.FanOut
 
 // openQuestions returns the number of open long polls.
-func (b *publication) openQuestions() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.watchers)
+func (p *publication) openQuestions() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.watchers)
 }
 
 // fresh reports whether this feeder's publication holds state that the lease holder sent within holderTTL.
-func (b *publication) fresh(now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.incarnation != "" && now.Sub(b.holderSeenAt) <= holderTTL
+func (p *publication) fresh(now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.incarnation != "" && now.Sub(p.holderSeenAt) <= holderTTL
 }
 
-// answer answers a question from a publication: at once if there is urgent news, otherwise when there is news or
-// q.Wait is over.
-func (c *Controller) answer(ctx context.Context, b *publication, w *watcher, q peer.Question) (*peer.Snapshot, error) {
+// answer answers a question from a publication: at once if there is an urgent change, otherwise when there is a
+// change or q.Wait is over.
+func (c *Controller) answer(ctx context.Context, p *publication, w *watcher, q peer.Question) (*peer.Snapshot, error) {
 	asked := c.o.Clock.Now()
-	s, urgent, ok := c.snapshot(b, q, asked)
+	s, urgent, ok := c.snapshot(p, q, asked)
 	if !ok {
 		return nil, peer.ErrNotHolder
 	}
-	news := c.addSuspects(s, q, asked)
-	news = c.addSignals(s, q, asked) || news
-	if news || urgent {
+	changed := c.addSuspects(s, q, asked)
+	changed = c.addSignals(s, q, asked) || changed
+	if changed || urgent {
 		return s, nil
 	}
 	timeout := c.o.Clock.After(q.Wait)
-	lazy := c.o.Clock.After(min(q.Wait, lazyPush+time.Duration(b.openQuestions())*lazyPushPerNode))
+	pushTimer := c.o.Clock.After(min(q.Wait, pushDelay+time.Duration(p.openQuestions())*pushDelayPerNode))
 	for waiting := true; waiting; {
 		select {
-		case <-w.news:
+		case <-w.notify:
 			waiting = false
-		case <-lazy:
-			waiting = !b.markDue(w, q.Version)
+		case <-pushTimer:
+			waiting = !p.markDue(w, q.Version)
 		case <-timeout:
 			waiting = false
 		case <-ctx.Done():
@@ -304,7 +304,7 @@
 		}
 	}
 	now := c.o.Clock.Now()
-	s, _, ok = c.snapshot(b, q, now)
+	s, _, ok = c.snapshot(p, q, now)
 	if !ok {
 		return nil, peer.ErrNotHolder
 	}
