--- a/internal/placer/controller.go
+++ b/internal/placer/controller.go
@@ -142,7 +142,7 @@
 	relayed atomic.Pointer[relayMark]
 	// latestLease is the latest lease record known here; nil if there is none.
 	latestLease atomic.Pointer[peer.LeaseMark]
-	lookup      peerList
+	peers       peerList
 	// leading is set while this node holds the lease. leaseUncertain is set until the lease topic was read, and again
 	// after a failed append, a handover or a restore of the store. The lease reader is idle while leading is set and
 	// leaseUncertain is not, since a holder knows the end of the topic from its own appends.
--- a/internal/placer/feeding_test.go
+++ b/internal/placer/feeding_test.go
@@ -311,7 +311,7 @@
 	for range 10 {
 		clock.Advance(time.Second)
 		now := count((*Controller).shouldReadStore)
-		// Some more than a tenth per second: the hash fractions are not perfectly even.
+		// A tenth more than planned, and a margin: the hash fractions are not perfectly even.
 		if now-before > 44+20 {
 			t.Errorf("%d nodes begin to read in one second, want some 40", now-before)
 		}
--- a/internal/placer/followers.go
+++ b/internal/placer/followers.go
@@ -72,7 +72,7 @@
 	}
 	c.setNodes(len(c.nodes)+1, now)
 	peers := c.peerAddresses()
-	c.lookup.setPeers(peers)
+	c.peers.setPeers(peers)
 	c.published.setPeers(peers)
 	c.published.setSuccessor(c.successor(now))
 }
--- a/internal/placer/holderstate.go
+++ b/internal/placer/holderstate.go
@@ -208,7 +208,7 @@
 		r.readyAt[pool] = now.Add(time.Duration(ms) * time.Millisecond)
 	}
 	c.setNodes(s.Nodes, now)
-	c.lookup.setPeers(s.Peers)
+	c.peers.setPeers(s.Peers)
 	if s.Feeders != nil {
 		c.applyFeedPlan(s.Feeders)
 	}
--- a/internal/placer/isolation.go
+++ b/internal/placer/isolation.go
@@ -192,7 +192,7 @@
 			continue
 		}
 		for range exchangePeers {
-			if address := c.lookup.pick(c.o.Self.Address); address != "" {
+			if address := c.peers.pick(c.o.Self.Address); address != "" {
 				marks[address] = c.exchangeWith(ctx, address, marks[address])
 			}
 		}
--- a/internal/placer/lookup.go
+++ b/internal/placer/lookup.go
@@ -27,7 +27,7 @@
 	next  int
 }
 
-// setPeers replaces the addresses by those that a lease holder sent; an empty list is ignored.
+// setPeers replaces the addresses, which the lease holder chooses for all nodes; an empty list is ignored.
 func (l *peerList) setPeers(peers []string) {
 	if len(peers) == 0 {
 		return
@@ -55,7 +55,7 @@
 	if !c.storeHealth.unavailable() || c.leading.Load() {
 		return
 	}
-	address := c.lookup.pick(c.o.Self.Address)
+	address := c.peers.pick(c.o.Self.Address)
 	if address == "" {
 		return
 	}
--- a/internal/placer/memory_test.go
+++ b/internal/placer/memory_test.go
@@ -47,7 +47,7 @@
 }
 
 // TestFleetFitsIntoWeakNodes guards against a node with 184 MB of memory whose state of 9,998 endpoints takes more
-// than 32 MB at its peak. Half of that is left for garbage.
+// than 32 MB at its peak, of which half is left for garbage.
 func TestFleetFitsIntoWeakNodes(t *testing.T) {
 	const most = 32 << 20 / 2
 	raw := fleetSnapshot(t, 9998, 812)
--- a/internal/placer/publish.go
+++ b/internal/placer/publish.go
@@ -25,9 +25,9 @@
 func (c *Controller) publish(now time.Time) {
 	t := c.table.Load()
 	v := &view.View{Ready: t != nil && c.listed && c.suspects.known.Load(), ReadyAt: c.readyAt(now)}
-	if tell := c.directory.TellStarts(); tell != c.startsRecorded {
-		// This determines which entries count as endpoints.
-		c.startsRecorded, c.rebuildAll = tell, true
+	if recorded := c.directory.TellStarts(); recorded != c.startsRecorded {
+		// This determines which entries count as endpoints, so that the view is built anew.
+		c.startsRecorded, c.rebuildAll = recorded, true
 	}
 	if c.rebuildAll || t == nil {
 		c.index, c.halls.coldRates, c.halls.firstWarmAt = newIndex(), make(map[string]float64), time.Time{}
--- a/internal/placer/signals_test.go
+++ b/internal/placer/signals_test.go
@@ -13,7 +13,7 @@
 
 // TestSignalsReachAllNodes checks that endpoints' signals received by one node reach the lease holder with its
 // report, other nodes with the holder's snapshots, and nodes without a lease holder through their exchange. A backoff
-// that an endpoint asked for applies only to the node that asked it.
+// stops requests only of the node that received it, but lowers the capacity known to every node.
 func TestSignalsReachAllNodes(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	d := newPeerControllers(clock, "h", "n", "o", "p")
