--- a/internal/placer/mirror.go
+++ b/internal/placer/mirror.go
@@ -9,93 +9,97 @@
 	"olivetiller/io/peer"
 )
 
-// A feeder's board mirrors the holder's: the same life and versions, so that a node that goes from one feeder to
-// another, or to the holder, is sent what it lacks and no more. What a message of the holder changed has the version of
-// that message, which is never lower than the one at which it changed there. All moments are handed on with their age.
+// A feeder's publication mirrors the lease holder's, with the same incarnation and versions, so that a node that
+// changes from one feeder to another, or to the lease holder, receives a delta and not everything again. Each change
+// carries the version of the snapshot that brought it, which is never lower than the version at which it changed at
+// the lease holder. Times are passed on as ages.
 
-// wakeFed wakes the nodes that a feeder feeds: it knows more than the holder's board tells.
-func (b *board) wakeFed() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.wakeWatchers()
+// wakeFollowers wakes the followers of a feeder: what it knows of suspected requests or signals, which is not part of
+// the mirrored state, has changed.
+func (p *publication) wakeFollowers() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.wakeWatchers()
 }
 
-// mirrors reports whether the board mirrors a life of a holder's.
-func (b *board) mirrors(life string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.life == life
+// mirrors reports whether the publication mirrors an incarnation of a lease holder's.
+func (p *publication) mirrors(incarnation string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.incarnation == incarnation
 }
 
-// mirrorAll begins to mirror a holder's board, by a message of it and all that is known of it here.
-func (b *board) mirrorAll(s *peer.Snapshot, serving map[string][]string, records []directory.Record, listedTo uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.life, b.version, b.completeFrom, b.whole = s.Life, s.Version, s.Version, nil
-	b.serving, b.goneAt = make(map[string]shown, len(serving)), make(map[string]uint64)
+// mirrorAll starts to mirror a lease holder's publication, from a snapshot and the complete state that this node has
+// built from earlier ones.
+func (p *publication) mirrorAll(s *peer.Snapshot, serving map[string][]string, records []directory.Record, listedTo uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.incarnation, p.version, p.deltasFrom, p.full = s.Life, s.Version, s.Version, nil
+	p.serving, p.removedAt = make(map[string]servingEntry, len(serving)), make(map[string]uint64)
 	for id, pools := range serving {
-		b.serving[id] = shown{pools: pools, version: s.Version}
+		p.serving[id] = servingEntry{pools: pools, version: s.Version}
 	}
-	b.feed.instances, b.feed.listedTo = recordsOf(records, s.Version), listedTo
-	b.peersVersion, b.feed.takersVersion, b.feed.evacuationsVersion, b.feedersVersion = s.Version, s.Version, s.Version, s.Version
-	b.wakeWatchers()
+	p.store.instances, p.store.listedTo = recordsOf(records, s.Version), listedTo
+	p.peersVersion, p.store.takersVersion, p.store.evacuationsVersion, p.feedersVersion = s.Version, s.Version, s.Version, s.Version
+	p.wakeWatchers()
 }
 
-// mirror takes a message of the holder over.
-func (b *board) mirror(s *peer.Snapshot) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// mirror applies a delta of the lease holder.
+func (p *publication) mirror(s *peer.Snapshot) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	urgent := s.Config != nil || s.Evacuations != nil || len(s.Feeders) > 0
-	news := urgent || s.Version > b.version
-	b.version = max(b.version, s.Version)
+	changed := urgent || s.Version > p.version
+	p.version = max(p.version, s.Version)
 	for id, pools := range s.Serving {
-		b.serving[id] = shown{pools: pools, version: s.Version}
-		delete(b.goneAt, id)
+		p.serving[id] = servingEntry{pools: pools, version: s.Version}
+		delete(p.removedAt, id)
 	}
 	for _, id := range s.Gone {
-		delete(b.serving, id)
-		b.goneAt[id] = s.Version
+		delete(p.serving, id)
+		p.removedAt[id] = s.Version
 	}
 	for _, r := range s.Instances {
-		b.feed.instances[r.ID] = shownInstance{r, s.Version}
+		p.store.instances[r.ID] = instanceEntry{r, s.Version}
 		urgent = true
 	}
-	b.feed.listedTo = max(b.feed.listedTo, s.ListedTo)
+	p.store.listedTo = max(p.store.listedTo, s.ListedTo)
 	switch {
 	case urgent:
-		b.wakeWatchers()
-	case news:
-		b.wakeDue()
+		p.wakeWatchers()
+	case changed:
+		p.wakeDue()
 	}
 }
 
-// mirrorFeed takes over what each message of the holder holds, as of moments that lie in the past.
-func (b *board) mirrorFeed(s *peer.Snapshot, t *route.Table, evacuations *peer.Evacuations, asOf, heardAt time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.fence, b.nodes, b.successor, b.storeDoubt, b.heardAt = s.Fence, s.Nodes, s.Successor, s.StoreDoubt, heardAt
-	f := &b.feed
-	f.lease, f.leaseOffset, f.configAt, f.instancesAt, f.evacuations = s.Lease, s.LeaseOffset, asOf, asOf, evacuations
+// mirrorCommon applies what every snapshot of the lease holder contains. asOf is when the holder had read the store to
+// its end, and seenAt is when it had sent its state.
+func (p *publication) mirrorCommon(s *peer.Snapshot, t *route.Table, evacuations *peer.Evacuations, asOf, seenAt time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.fence, p.nodes, p.successor, p.holderLostStore, p.holderSeenAt = s.Fence, s.Nodes, s.Successor, s.StoreDoubt, seenAt
+	st := &p.store
+	st.lease, st.leaseOffset, st.configAt, st.instancesAt, st.evacuations = s.Lease, s.LeaseOffset, asOf, asOf, evacuations
 	if t != nil {
-		f.config = t.Config
+		st.config = t.Config
 	}
 	if len(s.Takers) > 0 {
-		f.takers, f.takersVersion = s.Takers, s.Version
+		st.takers, st.takersVersion = s.Takers, s.Version
 	}
 	if len(s.Peers) > 0 {
-		b.peers, b.peersVersion = s.Peers, s.Version
+		p.peers, p.peersVersion = s.Peers, s.Version
 	}
 	if s.Evacuations != nil {
-		f.evacuationsVersion = s.Version
+		st.evacuationsVersion = s.Version
 	}
 	if s.Feeders != nil {
-		b.feeders, b.feedersVersion = s.Feeders, s.Version
+		p.feeders, p.feedersVersion = s.Feeders, s.Version
 	}
 	ready := make(map[string]time.Time, len(s.ReadyInMs))
 	for pool, ms := range s.ReadyInMs {
-		ready[pool] = heardAt.Add(time.Duration(ms) * time.Millisecond)
+		ready[pool] = seenAt.Add(time.Duration(ms) * time.Millisecond)
 	}
-	if !maps.EqualFunc(ready, b.readyAt, func(x, y time.Time) bool { return x.Sub(y).Abs() <= readySlack }) {
-		b.readyAt, b.readyVersion = ready, s.Version
+	if !maps.EqualFunc(ready, p.readyAt, func(x, y time.Time) bool { return x.Sub(y).Abs() <= readySlack }) {
+		p.readyAt, p.readyVersion = ready, s.Version
 	}
 }
