--- a/core/quota/bound.go
+++ b/core/quota/bound.go
@@ -6,64 +6,65 @@
 	"olivetiller/core/customer"
 )
 
-// Bound is what granters and purses keep: how much all nodes together may spend.
+// Bound is a rate limit over all nodes together, as the parameters of the token buckets that enforce it.
 type Bound struct {
-	// Rate is in units a second, and Full what a bucket holds at most, in units.
-	Rate, Full float64
-	// AloneRate is what nodes that spend their own parts may spend a second, all together, in units, and AloneStart
-	// what they begin with.
-	AloneRate, AloneStart float64
-	// Nodes is over how many nodes a node that is alone parts the bound at least. 0 where only a granter's word
-	// tells it, which then must not be older than [WordLife].
-	Nodes int
+	// Rate is the refill rate of the granter's bucket in units per second, and Capacity its size in units.
+	Rate, Capacity float64
+	// PartitionedRate is the total rate, in units per second, at which partitioned nodes may spend their shares, and
+	// PartitionedBurst the total in units with which their buckets start.
+	PartitionedRate, PartitionedBurst float64
+	// MinNodes is the least number of nodes over which a partitioned node divides the bound. If it is 0, only a
+	// granter's answer tells the number, and it must not be older than [PartitionedTTL].
+	MinNodes int
 }
 
-// Bound returns the bound of a customer's limit.
+// Bound returns the bound that enforces a customer's limit with this tolerance.
 func (t Tolerance) Bound(l customer.Limit) Bound {
-	return Bound{Rate: l.Rate, Full: t.full(l), AloneRate: l.Rate, AloneStart: l.Rate*aloneBurst.Seconds() + aloneSlack*t.Slack}
+	return Bound{Rate: l.Rate, Capacity: t.capacity(l), PartitionedRate: l.Rate, PartitionedBurst: l.Rate*partitionedBurstTime.Seconds() + partitionedSlack*t.Slack}
 }
 
-// ColdTolerance is what the platform bears above the rate of a cold endpoint in any second.
+// ColdTolerance is by how much requests to a cold endpoint may exceed its rate in any one second: Share times the
+// rate plus Slack requests are allowed.
 type ColdTolerance struct {
-	// Share is by how much the rate is multiplied, Slack how many requests are added.
+	// Share multiplies the rate; values below 1 count as 1. Slack is a number of requests.
 	Share, Slack float64
 }
 
-// GrantLife is how long after its question was sent a request to a cold endpoint may leave on its grant: machines that
-// stood still and wake together must not send all at once what was granted before.
+// GrantLife is how long after its grant request was sent a grant for a cold endpoint is valid. It keeps machines that
+// were suspended and resume together from sending everything that was granted before at once.
 const GrantLife = 300 * time.Millisecond
 
-// Parts of what a cold endpoint may get in a second that the bound uses. Two granters fit into it: nodes that go from
-// one to another count at both for [HeardLife], which is longer than the second. The rest is left for credit that
-// nodes hold and for requests on their way.
+// Fractions of the requests that a cold endpoint may get in one second. Two granters at once must fit: a node that
+// moves from one to the other counts at both for [AttachmentTTL], which is longer than that second. The remainder
+// covers credit that nodes hold and requests in flight.
 const (
-	coldRate, coldFull            = 0.3, 0.1
-	coldAloneRate, coldAloneStart = 0.1, 0.05
+	coldRate, coldCapacity                    = 0.3, 0.1
+	coldPartitionedRate, coldPartitionedBurst = 0.1, 0.05
 )
 
-// OfCold returns the bound on requests to an endpoint that is cold and takes so many a second from all nodes together,
-// where at least nodes share the traffic.
+// OfCold returns the bound on requests to a cold endpoint that accepts perSecond requests per second from all nodes
+// together. At least nodes nodes share the traffic.
 func (t ColdTolerance) OfCold(perSecond float64, nodes int) Bound {
 	allowed := perSecond*max(1, t.Share) + t.Slack
 	return Bound{
-		Rate: min(perSecond, coldRate*allowed), Full: max(1, coldFull*allowed),
-		AloneRate: coldAloneRate * allowed, AloneStart: coldAloneStart * allowed, Nodes: nodes,
+		Rate: min(perSecond, coldRate*allowed), Capacity: max(1, coldCapacity*allowed),
+		PartitionedRate: coldPartitionedRate * allowed, PartitionedBurst: coldPartitionedBurst * allowed, MinNodes: nodes,
 	}
 }
 
-// Parts of the bound on requests to an endpoint that limits them. The platform bears half as much again as the endpoint
-// names over some seconds, and a few requests: nodes that are alone add aloneShare of it to what a granter that does
-// not hear of them grants.
+// Parameters of the bound on requests to an endpoint that announces a limit. Over some seconds an endpoint may get
+// 1.5 times its limit and a few requests: partitioned nodes add partitionedShare of the limit to what a granter that
+// they cannot reach grants.
 const (
-	aloneShare = 0.5
-	// endpointRequests is how many requests a bucket holds, beside endpointBurst of a second's: nodes come back
-	// for what there is at moments of their own, and what a full bucket does not hold is lost.
-	endpointRequests = 2
-	endpointBurst    = 0.5
+	partitionedShare = 0.5
+	// A bucket holds endpointBaseCapacity requests and those of endpointBurstSeconds: nodes collect grants at
+	// different moments, and what exceeds a full bucket is lost.
+	endpointBaseCapacity = 2
+	endpointBurstSeconds = 0.5
 )
 
-// OfEndpoint returns the bound on requests to an endpoint that takes so many a second from all nodes together, where
-// at least nodes share the traffic.
+// OfEndpoint returns the bound on requests to an endpoint that accepts perSecond requests per second from all nodes
+// together. At least nodes nodes share the traffic.
 func OfEndpoint(perSecond float64, nodes int) Bound {
-	return Bound{Rate: perSecond, Full: endpointRequests + endpointBurst*perSecond, AloneRate: aloneShare * perSecond, AloneStart: aloneShare, Nodes: nodes}
+	return Bound{Rate: perSecond, Capacity: endpointBaseCapacity + endpointBurstSeconds*perSecond, PartitionedRate: partitionedShare * perSecond, PartitionedBurst: partitionedShare, MinNodes: nodes}
 }
--- a/core/quota/doc.go
+++ b/core/quota/doc.go
@@ -1,23 +1,22 @@
-// Package quota keeps the limits of customers over all nodes together.
+// Package quota enforces rate limits that hold for all nodes of a deployment together: limits of customers, of
+// endpoints that announce one, and of endpoints that are cold.
 //
-// The problem: a limit holds for what all nodes send together, in touch or not, to
-// within some 15 requests, while a request may not wait for others. A share for each
-// node alone refuses what is beneath the limit, and a node that asks for each request
-// stops when the one that it asks is lost.
+// A limit bounds the sum of what all nodes send, also while the network is partitioned, with an error of about 15
+// requests, and admission of a request may not depend on a node that is lost. A fixed share per node would refuse
+// requests below the limit, since traffic is uneven; asking a central node for each request would stop all traffic
+// when that node fails.
 //
-// The model: every limit is parted equally over the nodes, and each node's part is
-// spent in one way at a time. A node that is in touch with a granter leaves its part
-// to it: the [Granter] has one bucket for each customer, which fills by the parts of
-// the nodes that asked lately, and a request is charged there. A node that gets no
-// answer spends its own part, and says so when it asks again. So two granters at once,
-// or a granter and nodes cut off from it, spend no part twice, whoever holds what
-// role; only a node on its way from one to the other counts at both, for [HeardLife]
-// at most.
+// Every limit is therefore divided into equal shares, one per node, and each share is spent in one place at a time. A
+// node that reaches a granter (is attached) leaves its share to it: the [Granter] has one token bucket per customer,
+// which is refilled with the shares of the nodes that contacted it within [AttachmentTTL], and grants are charged
+// there. A node that gets no answer is partitioned: it spends its own share from its [Purse], and says so in its next
+// message. So no share is spent twice by two granters at once, or by a granter and nodes cut off from it, whichever
+// of them holds the role. Only a node that moves from one granter to another counts at both, for at most
+// [AttachmentTTL].
 //
-// A granter that begins has empty buckets: what the one before granted is unknown, and
-// an empty memory is no full bucket.
+// A new granter starts with empty buckets, because it does not know what its predecessor granted.
 //
-// The load that this answers: 71 nodes, 16 customers whose limits reach from four
-// requests a second to a hundred, one of them at many times its usual, and a granter
-// that is killed or cut off in the middle of it.
+// The package is used by the node's controller, which carries grant requests between purses and the granter. It is
+// designed for 71 nodes and 16 customers with limits from 4 to 100 requests per second, one of which sends many times
+// its usual load while the granter is killed or cut off.
 package quota
--- a/core/quota/endpoint_test.go
+++ b/core/quota/endpoint_test.go
@@ -8,50 +8,53 @@
 	"time"
 )
 
-// simRule is a rule of the platform's: in some window not more than share of what the limit allows, and slack.
+// simRule is a bound to check: in no window may there be more requests than share times what the limit allows, plus
+// slack.
 type simRule struct {
 	window       time.Duration
 	share, slack float64
-	// all is true where nodes that were disturbed lately count too.
+	// all is set if requests of recently disturbed nodes count too.
 	all bool
 }
 
-// The rules on limits that endpoints name, and on cold endpoints.
+// The rules for endpoints that announce a limit, and for cold endpoints.
 var (
 	limitRule = simRule{window: 4 * time.Second, share: 1.5, slack: 5}
 	coldRule  = simRule{window: time.Second, share: 1.5, slack: 5, all: true}
 )
 
 const (
-	// simStep is the time between two looks at a simulated deployment.
+	// simStep is the time step of the simulation.
 	simStep = 10 * time.Millisecond
-	// simReport is the longest time between two reports of a node to the granter.
+	// simReport is the longest interval between two reports of a node to the granter.
 	simReport = time.Second
-	// simTimeout is how long a question waits for its answer.
+	// simTimeout is how long a node waits for the answer to a grant request.
 	simTimeout = 250 * time.Millisecond
 )
 
-// simNode sends requests to one endpoint whenever it may.
+// simNode is a node that sends a request to one endpoint whenever it may.
 type simNode struct {
 	purse *Purse
-	// granter is set while the node holds the role.
+	// granter is set while the node has the granter's role.
 	granter *Granter
-	// holder is whom the node takes for the granter.
+	// holder is the index of the node that this node believes to be the granter.
 	holder int
 	shut   time.Time
-	// asked is when the question in progress was sent, and answerAt when its answer comes; zero for none.
+	// asked is when the pending grant request was sent, and answerAt when its answer or timeout comes; both zero if
+	// none is pending.
 	asked, answerAt time.Time
 	answer          *Answer
 	members         int
 	reportAt        time.Time
 	frozen          bool
-	// disturbedAt is when it was last frozen, cut off or started again: for a window after that the rule excuses it.
+	// disturbedAt is when the node was last frozen, cut off or restarted; a rule without all ignores its requests for
+	// one window after that.
 	disturbedAt time.Time
-	// island tells who reaches whom: nodes of one island.
+	// island is the node's network partition: only nodes of the same island reach each other.
 	island int
 }
 
-// simDeployment is a deployment in virtual time in which all nodes have been told of the limit.
+// simDeployment simulates, in virtual time, a deployment in which all nodes know the limit.
 type simDeployment struct {
 	r     *rand.Rand
 	now   time.Time
@@ -59,14 +62,14 @@
 	bound func(nodes int) Bound
 	limit float64
 	rule  simRule
-	// sent are the moments at which requests of undisturbed nodes leave, at most one window old; total counts all
+	// sent holds the send times of the requests that the rule counts, within the last window; total counts all
 	// requests.
 	sent  []time.Time
 	total int
 	worst int
 	lives int
-	// plant spoils a node before it acts; nil for nothing.
-	plant func(s *simDeployment, n *simNode)
+	// inject injects a fault into a node before it acts; nil for none.
+	inject func(s *simDeployment, n *simNode)
 }
 
 func newSimDeployment(nodes int, limit float64, seed uint64) *simDeployment {
@@ -86,14 +89,14 @@
 	return least + time.Duration(s.r.Int64N(int64(most-least)))
 }
 
-// restart starts a node's process anew.
+// restart replaces a node's process by a new one.
 func (s *simDeployment) restart(i int) {
 	s.lives++
 	old := s.nodes[i]
 	*old = simNode{purse: NewPurse(strconv.Itoa(s.lives), Tolerance{}), holder: old.holder, island: old.island, disturbedAt: s.now, reportAt: s.now.Add(s.between(0, simReport))}
 }
 
-// hold gives a node the role; whoever it reaches learns so within half a second.
+// hold makes a node the granter; all nodes of its island see that at once.
 func (s *simDeployment) hold(i int) {
 	n := s.nodes[i]
 	n.granter = NewGranter(Tolerance{}, len(s.nodes), s.now)
@@ -112,7 +115,7 @@
 	return h.granter
 }
 
-// run lets time pass.
+// run advances the simulation.
 func (s *simDeployment) run(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simStep) {
 		for _, i := range s.r.Perm(len(s.nodes)) {
@@ -132,8 +135,8 @@
 }
 
 func (s *simDeployment) act(i int, n *simNode) {
-	if s.plant != nil {
-		s.plant(s, n)
+	if s.inject != nil {
+		s.inject(s, n)
 	}
 	name := strconv.Itoa(i)
 	if g := s.reaches(n); g != nil && !s.now.Before(n.reportAt) {
@@ -167,7 +170,7 @@
 	}
 }
 
-// ask asks the granter; the answer comes after the way there and back, or never.
+// ask sends a grant request; the answer arrives after a random round trip, or the request times out.
 func (s *simDeployment) ask(name string, n *simNode, of Bound, ahead float64) {
 	n.asked, n.answer, n.answerAt = s.now, nil, s.now.Add(simTimeout)
 	g := s.reaches(n)
@@ -201,13 +204,13 @@
 	}
 }
 
-// allowed is how many requests may come in a window.
+// allowed returns how many requests the rule allows in a window.
 func (s *simDeployment) allowed() float64 {
 	return s.rule.share*s.limit*s.rule.window.Seconds() + s.rule.slack
 }
 
-// playSeries has the role change, nodes start again, freeze, and be cut off in islands, in series.
-func playSeries(s *simDeployment) {
+// injectFaults applies a random series of faults: granter changes, restarts, frozen nodes and network partitions.
+func injectFaults(s *simDeployment) {
 	for range 30 {
 		switch i := s.r.IntN(len(s.nodes)); s.r.IntN(6) {
 		case 0:
@@ -234,8 +237,8 @@
 	}
 }
 
-// TestLimitOfEndpointHolds checks that nodes which send all they may to one endpoint keep its limit together, while the
-// granter changes, is doubled or lost, and nodes start again, freeze and are cut off.
+// TestLimitOfEndpointHolds guards against nodes that together exceed an endpoint's limit when each sends all it may,
+// while the granter changes, is duplicated or lost, and nodes restart, freeze and are partitioned.
 func TestLimitOfEndpointHolds(t *testing.T) {
 	for _, nodes := range []int{7, 71, 300} {
 		for _, limit := range []float64{0.3, 1, 1.8, 10} {
@@ -243,9 +246,9 @@
 				t.Run(fmt.Sprintf("%d nodes, %g a second, seed %d", nodes, limit, seed), func(t *testing.T) {
 					t.Parallel()
 					s := newSimDeployment(nodes, limit, seed)
-					playSeries(s)
+					injectFaults(s)
 					if float64(s.worst) > s.allowed() {
-						t.Errorf("%d requests in %v, %.1f may come", s.worst, s.rule.window, s.allowed())
+						t.Errorf("%d requests in %v, %.1f allowed", s.worst, s.rule.window, s.allowed())
 					}
 				})
 			}
@@ -253,7 +256,8 @@
 	}
 }
 
-// TestLimitOfEndpointIsUsed checks that nodes in touch with a granter use what an endpoint takes.
+// TestLimitOfEndpointIsUsed guards against bounds so strict that attached nodes use less than nine tenths of an
+// endpoint's limit.
 func TestLimitOfEndpointIsUsed(t *testing.T) {
 	for _, nodes := range []int{7, 71, 300} {
 		for _, limit := range []float64{1, 1.8, 10} {
@@ -268,12 +272,12 @@
 	}
 }
 
-// TestLimitFaultsFound checks that the plays show faults that are planted.
+// TestLimitFaultsFound checks that the simulation detects injected faults.
 func TestLimitFaultsFound(t *testing.T) {
 	faults := []struct {
-		name  string
-		plant func(s *simDeployment, n *simNode)
-		bound func(limit float64, nodes int) Bound
+		name   string
+		inject func(s *simDeployment, n *simNode)
+		bound  func(limit float64, nodes int) Bound
 	}{
 		{"a way that does not ask", func(s *simDeployment, n *simNode) {
 			if s.r.IntN(len(s.nodes)*50) == 0 {
@@ -282,16 +286,16 @@
 		}, OfEndpoint},
 		{"parts rounded up", nil, func(limit float64, nodes int) Bound {
 			b := OfEndpoint(limit, nodes)
-			b.AloneRate = float64(nodes) * max(1, limit/float64(nodes))
+			b.PartitionedRate = float64(nodes) * max(1, limit/float64(nodes))
 			return b
 		}},
 		{"each node keeps the limit alone", func(_ *simDeployment, n *simNode) { n.granter = nil }, func(limit float64, _ int) Bound {
-			return Bound{Rate: limit, Full: 1, AloneRate: limit, Nodes: 1}
+			return Bound{Rate: limit, Capacity: 1, PartitionedRate: limit, MinNodes: 1}
 		}},
 		{"buckets that begin full", func(s *simDeployment, n *simNode) {
 			if n.granter != nil && s.r.IntN(100) == 0 {
 				n.granter.buckets = make(map[string]*bucket)
-				n.granter.begun = s.now.Add(-time.Minute)
+				n.granter.startedAt = s.now.Add(-time.Minute)
 			}
 		}, OfEndpoint},
 	}
@@ -299,13 +303,13 @@
 		t.Run(f.name, func(t *testing.T) {
 			for seed := range uint64(20) {
 				s := newSimDeployment(7, 1, seed)
-				s.plant, s.bound = f.plant, func(nodes int) Bound { return f.bound(1, nodes) }
-				playSeries(s)
+				s.inject, s.bound = f.inject, func(nodes int) Bound { return f.bound(1, nodes) }
+				injectFaults(s)
 				if float64(s.worst) > s.allowed() {
 					return
 				}
 			}
-			t.Error("not found in 20 plays")
+			t.Error("not detected in 20 runs")
 		})
 	}
 }
@@ -319,8 +323,8 @@
 	return s
 }
 
-// TestColdEndpointIsNotFlooded guards against nodes that together send a cold endpoint more in a second than it bears,
-// those included that were cut off, frozen or started again.
+// TestColdEndpointIsNotFlooded guards against nodes that together send a cold endpoint more in one second than
+// allowed. Nodes that were partitioned, frozen or restarted count too.
 func TestColdEndpointIsNotFlooded(t *testing.T) {
 	for _, nodes := range []int{7, 91, 300} {
 		for _, perSecond := range []float64{8, 30} {
@@ -328,9 +332,9 @@
 				t.Run(fmt.Sprintf("%d nodes, %g a second, seed %d", nodes, perSecond, seed), func(t *testing.T) {
 					t.Parallel()
 					s := newColdDeployment(nodes, perSecond, seed)
-					playSeries(s)
+					injectFaults(s)
 					if float64(s.worst) > s.allowed() {
-						t.Errorf("%d requests in %v, %.1f may come", s.worst, s.rule.window, s.allowed())
+						t.Errorf("%d requests in %v, %.1f allowed", s.worst, s.rule.window, s.allowed())
 					}
 				})
 			}
@@ -338,7 +342,7 @@
 	}
 }
 
-// TestColdFaultsFound checks that the plays of cold endpoints show faults that are planted.
+// TestColdFaultsFound checks that the simulation of cold endpoints detects injected faults.
 func TestColdFaultsFound(t *testing.T) {
 	faults := []struct {
 		name  string
@@ -346,8 +350,8 @@
 	}{
 		{"four times the rate", func(b Bound, _ int) Bound { b.Rate *= 4; return b }},
 		{"each node alone has the whole rate", func(b Bound, nodes int) Bound {
-			b.AloneRate *= float64(nodes)
-			b.AloneStart *= float64(nodes)
+			b.PartitionedRate *= float64(nodes)
+			b.PartitionedBurst *= float64(nodes)
 			return b
 		}},
 	}
@@ -357,17 +361,18 @@
 				s := newColdDeployment(7, 8, seed)
 				of := s.bound
 				s.bound = func(nodes int) Bound { return f.bound(of(nodes), nodes) }
-				playSeries(s)
+				injectFaults(s)
 				if float64(s.worst) > s.allowed() {
 					return
 				}
 			}
-			t.Error("not found in 20 plays")
+			t.Error("not detected in 20 runs")
 		})
 	}
 }
 
-// TestColdEndpointIsUsed checks that nodes in touch with a granter use at least half of the rate of a cold endpoint.
+// TestColdEndpointIsUsed guards against bounds so strict that attached nodes use less than half of a cold endpoint's
+// rate.
 func TestColdEndpointIsUsed(t *testing.T) {
 	for _, nodes := range []int{7, 91, 300} {
 		s := newColdDeployment(nodes, 8, 1)
--- a/core/quota/granter.go
+++ b/core/quota/granter.go
@@ -8,115 +8,112 @@
 	"olivetiller/core/customer"
 )
 
-// Times of the parts.
+// How long shares stay with a granter or a node.
 const (
-	// HeardLife is how long after its latest question a granter counts a node's part as
-	// its own: longer than the pause between two reports of 300 nodes.
-	HeardLife = 1150 * time.Millisecond
-	// memberLife is how long a silent node keeps its part, which it may be spending:
-	// longer than it does, by the longest time for which it does not notice.
-	memberLife = WordLife + 2*time.Second
-	// WordLife is how long a node that gets no answer spends its part: longer than it takes
-	// until there is another granter, 3.5 s at most on the deployments known, and an outage
-	// of a few nodes.
-	WordLife = 8 * time.Second
+	// AttachmentTTL is how long after a node's latest message its share belongs to the granter. It is longer than the
+	// interval between two reports of a node in a deployment of 300 nodes.
+	AttachmentTTL = 1150 * time.Millisecond
+	// memberTTL is how long a silent node keeps its share, which it may be spending by itself. It exceeds
+	// PartitionedTTL by the longest time in which a node may fail to notice that it is partitioned.
+	memberTTL = PartitionedTTL + 2*time.Second
+	// PartitionedTTL is how long after the latest answer a partitioned node may spend its share. It covers an outage
+	// of a few nodes and the election of another granter, which takes at most 3.5 s on known deployments.
+	PartitionedTTL = 8 * time.Second
 )
 
-// longestHint bounds when a refused request is told to come back: by then its caller
-// has left.
-const longestHint = 8 * time.Second
+// maxRetryAfter bounds the delay that a refused request is told to wait; its caller has given up by then.
+const maxRetryAfter = 8 * time.Second
 
-// Tolerance is what the platform bears above a limit.
+// Tolerance is by how much the requests of a customer may exceed its limit in any window of time.
 type Tolerance struct {
-	// Share is the part of what a window allows, from 0 up.
+	// Share is a fraction, from 0 up, of what the limit allows in the window.
 	Share float64
-	// Slack is in units, over all nodes, in any window.
+	// Slack is an absolute number of units over all nodes, in any window.
 	Slack float64
 }
 
-// Parts of the tolerance that are used; the rest is left for questions on their way and
-// nodes on their way from one granter to another.
+// Fractions of the tolerance that are spent on purpose. The rest covers grant requests in flight and nodes that move
+// from one granter to another.
 const (
-	// burstShare of the share lets buckets hold more than the burst, and burstSlack of the
-	// slack: what is charged and does not run, or is held for a moment at a node, would
-	// else be refused to customers beneath their limits.
+	// A bucket may exceed the burst by burstShare of Share and burstSlack of Slack. Units that are charged for
+	// requests that do not run, or that a node holds as credit for a moment, would otherwise be refused to customers
+	// below their limits.
 	burstShare = 0.25
 	burstSlack = 0.125
-	// aloneSlack of the slack is parted over nodes that spend alone.
-	aloneSlack = 0.5
+	// partitionedSlack is the fraction of Slack that is divided over partitioned nodes.
+	partitionedSlack = 0.5
 )
 
-// full returns what a bucket of a limit holds at most.
-func (t Tolerance) full(l customer.Limit) float64 {
+// capacity returns the size of a limit's bucket in units.
+func (t Tolerance) capacity(l customer.Limit) float64 {
 	return l.Burst*(1+burstShare*t.Share) + burstSlack*t.Slack
 }
 
-// Granter grants what customers may spend, for all nodes that ask it. It is not safe
-// for concurrent use.
+// Granter grants units to all nodes that ask it, from one token bucket per customer or endpoint. One node at a time
+// is meant to have one. It is not safe for concurrent use.
 type Granter struct {
 	tolerance Tolerance
-	// members holds when each node last asked, and following when it last did without
-	// spending its part by itself.
-	members, following map[string]time.Time
-	// least is how many nodes there were when it began, for memberLife.
-	least   int
-	begun   time.Time
-	buckets map[string]*bucket
+	// seenAt is when each node's latest message came, and attachedAt when its latest message came that did not report
+	// it as partitioned.
+	seenAt, attachedAt map[string]time.Time
+	// initialMembers is how many nodes were known at the start; it is a lower bound for the first memberTTL.
+	initialMembers int
+	startedAt      time.Time
+	buckets        map[string]*bucket
 }
 
-// bucket holds what one customer may spend, in units.
+// bucket is the token bucket of one customer or endpoint, in units.
 type bucket struct {
 	level float64
 	at    time.Time
-	// owed is what refused requests were told to come back for; it is worked off as the
-	// bucket fills, so that they return one after the other.
-	owed float64
+	// deferred is the total of refused requests that were told when to retry. It decreases as the bucket fills, so
+	// that they return one after the other.
+	deferred float64
 }
 
-// NewGranter returns a granter that begins at a moment, where members nodes were known;
-// 0 if it knows of none.
+// NewGranter returns a granter with empty buckets that starts now, when members nodes were known; 0 if none were.
 func NewGranter(tolerance Tolerance, members int, now time.Time) *Granter {
-	return &Granter{tolerance: tolerance, members: make(map[string]time.Time), following: make(map[string]time.Time), least: members, begun: now, buckets: make(map[string]*bucket)}
+	return &Granter{tolerance: tolerance, seenAt: make(map[string]time.Time), attachedAt: make(map[string]time.Time), initialMembers: members, startedAt: now, buckets: make(map[string]*bucket)}
 }
 
-// Heard notes a node's message. A node that is alone spends its own part.
-func (g *Granter) Heard(node string, alone bool, now time.Time) {
-	g.members[node] = now
-	if alone {
-		delete(g.following, node)
+// Heard records a message from a node. A partitioned node spends its own share, so the granter does not.
+func (g *Granter) Heard(node string, partitioned bool, now time.Time) {
+	g.seenAt[node] = now
+	if partitioned {
+		delete(g.attachedAt, node)
 		return
 	}
-	g.following[node] = now
+	g.attachedAt[node] = now
 }
 
-// Members returns how many nodes the limits are parted over.
+// Members returns the number of nodes over which limits are divided, at least 1.
 func (g *Granter) Members(now time.Time) int {
-	maps.DeleteFunc(g.members, func(_ string, at time.Time) bool { return now.Sub(at) > memberLife })
-	n := len(g.members)
-	if now.Sub(g.begun) <= memberLife {
-		n = max(n, g.least)
+	maps.DeleteFunc(g.seenAt, func(_ string, at time.Time) bool { return now.Sub(at) > memberTTL })
+	n := len(g.seenAt)
+	if now.Sub(g.startedAt) <= memberTTL {
+		n = max(n, g.initialMembers)
 	}
 	return max(1, n)
 }
 
-// part returns the part of every limit that is the granter's to spend, from 0 to 1.
-func (g *Granter) part(now time.Time) float64 {
-	maps.DeleteFunc(g.following, func(_ string, at time.Time) bool { return now.Sub(at) > HeardLife })
-	return min(1, float64(len(g.following))/float64(g.Members(now)))
+// share returns the fraction of every limit that belongs to the granter, from 0 to 1.
+func (g *Granter) share(now time.Time) float64 {
+	maps.DeleteFunc(g.attachedAt, func(_ string, at time.Time) bool { return now.Sub(at) > AttachmentTTL })
+	return min(1, float64(len(g.attachedAt))/float64(g.Members(now)))
 }
 
-// Answer is what a granter says to a question.
+// Answer is a granter's response to a grant request.
 type Answer struct {
-	// Granted is what may be spent, in units: at least what was needed, or 0.
+	// Granted is the number of units granted: at least the request's need, or 0.
 	Granted float64
-	// After is when there will be room for what was needed, after all who were told so
-	// before; only where nothing is granted.
+	// After is the delay until the needed units will be available, behind all requests that were deferred before. It
+	// is set only where nothing is granted.
 	After time.Duration
 }
 
-// Ask grants what one request needs, with what is asked for ahead if there is enough.
-// A request that needs more than the burst is granted where the bucket is full, and paid
-// for afterwards.
+// Ask grants the units that one request of a customer needs, and ahead units more for later requests if the bucket
+// has them. A request that needs more than the burst is granted when the bucket is full, which leaves the bucket
+// negative.
 func (g *Granter) Ask(name string, l customer.Limit, need, ahead float64, now time.Time) Answer {
 	if !l.Limited() {
 		return Answer{Granted: max(0, need) + max(0, ahead)}
@@ -124,61 +121,61 @@
 	return g.AskBound(name, g.tolerance.Bound(l), need, ahead, now)
 }
 
-// AskBound is Ask of any bound.
+// AskBound is like Ask, for any bound; name is that of its bucket.
 func (g *Granter) AskBound(name string, of Bound, need, ahead float64, now time.Time) Answer {
 	need, ahead = max(0, need), max(0, ahead)
-	part := g.part(now)
-	b := g.fill(name, of, part, now)
-	switch full := of.Full * part; {
+	share := g.share(now)
+	b := g.fill(name, of, share, now)
+	switch capacity := of.Capacity * share; {
 	case b.level >= need+ahead:
 		b.level -= need + ahead
 		return Answer{Granted: need + ahead}
-	case b.level >= min(need, full):
+	case b.level >= min(need, capacity):
 		b.level -= need
 		return Answer{Granted: need}
 	default:
-		return Answer{After: b.after(min(need, full), of.Rate*part, need)}
+		return Answer{After: b.retryAfter(min(need, capacity), of.Rate*share, need)}
 	}
 }
 
-// fill returns a bucket as it is at a moment.
-func (g *Granter) fill(name string, of Bound, part float64, now time.Time) *bucket {
+// fill returns the named bucket after refilling it up to now.
+func (g *Granter) fill(name string, of Bound, share float64, now time.Time) *bucket {
 	b := g.buckets[name]
 	if b == nil {
-		b = &bucket{at: g.begun}
+		b = &bucket{at: g.startedAt}
 		g.buckets[name] = b
 	}
-	gained := of.Rate * part * max(0, now.Sub(b.at).Seconds())
-	b.level = min(b.level+gained, of.Full*part)
-	b.owed = max(0, b.owed-gained)
+	gained := of.Rate * share * max(0, now.Sub(b.at).Seconds())
+	b.level = min(b.level+gained, of.Capacity*share)
+	b.deferred = max(0, b.deferred-gained)
 	b.at = now
 	return b
 }
 
-// after returns when the bucket will have room, and puts the request in the order of
-// return.
-func (b *bucket) after(room, rate, need float64) time.Duration {
+// retryAfter returns the delay until the bucket holds room units beyond what earlier refused requests wait for, and
+// adds need to the deferred units.
+func (b *bucket) retryAfter(room, rate, need float64) time.Duration {
 	if rate <= 0 {
-		return longestHint
+		return maxRetryAfter
 	}
-	seconds := (room - b.level + b.owed) / rate
-	if seconds >= longestHint.Seconds() {
-		return longestHint
+	seconds := (room - b.level + b.deferred) / rate
+	if seconds >= maxRetryAfter.Seconds() {
+		return maxRetryAfter
 	}
-	b.owed += need
-	// Rounded up: a moment under a nanosecond would be none, and its caller back at once.
+	b.deferred += need
+	// Rounded up: a delay below one nanosecond would become 0, and the caller would retry at once.
 	return time.Duration(math.Ceil(seconds * float64(time.Second)))
 }
 
-// idleLife is how long a bucket or an account is kept that nobody asks for.
-const idleLife = 10 * time.Minute
+// idleTTL is how long an unused bucket or account is kept.
+const idleTTL = 10 * time.Minute
 
-// ForgetIdle drops the buckets that nobody asked for lately.
+// ForgetIdle drops the buckets that were not used for idleTTL.
 func (g *Granter) ForgetIdle(now time.Time) {
-	maps.DeleteFunc(g.buckets, func(_ string, b *bucket) bool { return now.Sub(b.at) > idleLife })
+	maps.DeleteFunc(g.buckets, func(_ string, b *bucket) bool { return now.Sub(b.at) > idleTTL })
 }
 
-// Forget drops the buckets of customers that there are no more.
+// Forget drops the buckets whose names are not known, such as those of deleted customers.
 func (g *Granter) Forget(known func(name string) bool) {
 	maps.DeleteFunc(g.buckets, func(name string, _ *bucket) bool { return !known(name) })
 }
--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -9,113 +9,116 @@
 	"olivetiller/core/customer"
 )
 
-// Times of a purse.
+// Durations that a purse uses.
 const (
-	// creditLife is how long a node may hold what it was granted: what it spends later
-	// than granted adds this much of the rate to what a window counts.
-	creditLife = 200 * time.Millisecond
-	// aheadFor is the time for which a node asks ahead by its own use, so that many
-	// requests of one customer at one node cost some questions a second.
-	aheadFor = 100 * time.Millisecond
-	// aheadFrom is from how many requests on that is done: fewer are too uncertain.
-	aheadFrom = 4
-	// useOver is the time over which a node's use is averaged.
-	useOver = time.Second
-	// closedAtMost is how long a node refuses by itself after a refusal, so that what is
-	// over a limit costs no question.
-	closedAtMost = 100 * time.Millisecond
-	// aloneBurst is the time for whose part a node that begins to spend alone has.
-	aloneBurst = 200 * time.Millisecond
-	// unknownAfter is when to come back where nobody knows what is left.
-	unknownAfter = 500 * time.Millisecond
+	// creditTTL is how long a node may hold granted units. Units spent later than granted add up to this much of the
+	// rate to what is counted in a window.
+	creditTTL = 200 * time.Millisecond
+	// prefetchWindow is the time for which a node requests units in advance, by its own usage, so that many requests
+	// of one customer at one node cost only a few grant requests per second.
+	prefetchWindow = 100 * time.Millisecond
+	// prefetchMinRequests is the least number of requests expected within prefetchWindow for which units are
+	// prefetched. A prediction of fewer is too uncertain.
+	prefetchMinRequests = 4
+	// usageWindow is the time over which a node's usage is averaged.
+	usageWindow = time.Second
+	// maxLocalRefusal is how long after a granter's refusal a node refuses by itself, so that a customer over its
+	// limit causes no grant requests.
+	maxLocalRefusal = 100 * time.Millisecond
+	// partitionedBurstTime is the time whose share of the rate a node may spend at once when it becomes partitioned.
+	partitionedBurstTime = 200 * time.Millisecond
+	// unknownRetryAfter is the retry delay where the number of nodes is not known, so that no share can be computed.
+	unknownRetryAfter = 500 * time.Millisecond
 )
 
-// Step is what to do with a request.
+// Step is what to do next with a request.
 type Step uint8
 
-// The steps.
+// Possible steps.
 const (
-	// Pass requests are charged.
+	// Pass: the request was charged and may run.
 	Pass Step = iota
-	// AskFor requests need a grant.
+	// AskFor: the request needs a grant from the granter.
 	AskFor
-	// Over requests are over the limit.
+	// Over: the request exceeds the limit and is refused.
 	Over
-	// Unknown requests come where nobody knows what is left.
+	// Unknown: the request is refused because the node's share is not known: it is partitioned and has had no answer
+	// from a granter for PartitionedTTL.
 	Unknown
 )
 
-// Decision is a step with its figures.
+// Decision is a step with its parameters.
 type Decision struct {
 	Step Step
-	// Ahead is what to ask for beyond the request's need, in units.
+	// Ahead is how many units to request beyond the request's need; set with AskFor.
 	Ahead float64
-	// After is when to come back.
+	// After is the delay after which to retry; set with Over and Unknown.
 	After time.Duration
 }
 
-// Purse is what one node holds of the customers' limits. It is not safe for concurrent
-// use.
+// Purse holds the units that one node may spend, by customer or endpoint: credit from a granter, or the node's own
+// share while it is partitioned. It is not safe for concurrent use.
 type Purse struct {
-	// life tells the node's draws from those of others.
-	life      string
-	tolerance Tolerance
-	accounts  map[string]*account
-	// members is how many nodes the limits are parted over; 0 before the first answer.
+	// incarnation identifies the node's process; it seeds the random thresholds, so that nodes draw different ones.
+	incarnation string
+	tolerance   Tolerance
+	accounts    map[string]*account
+	// members is the number of nodes over which limits are divided; 0 before the first answer.
 	members int
-	// heardAt is when the latest answered question was sent.
-	heardAt time.Time
-	// aloneSince is when the node began to spend its own part; zero while it is in touch.
-	aloneSince time.Time
+	// answeredAt is when the latest answered grant request was sent.
+	answeredAt time.Time
+	// partitionedSince is when the node became partitioned; zero while it is attached to a granter.
+	partitionedSince time.Time
 }
 
-// account is a node's own of one customer, in units.
+// account holds a node's units for one customer or endpoint.
 type account struct {
-	held    float64
+	credit  float64
 	expires time.Time
-	// use is what is spent a second, as of usedAt.
-	use    float64
-	usedAt time.Time
-	// closed is until when requests that need closedNeed or more are refused here.
-	closed     time.Time
-	closedNeed float64
-	after      time.Duration
-	// part is the node's own part as of partAt, begun anew whenever it is alone, and
-	// draw what part of a request it must hold to let it pass.
-	part   float64
-	partAt time.Time
-	draw   float64
+	// usageRate is the usage in units per second as of usageAt.
+	usageRate float64
+	usageAt   time.Time
+	// Until refuseUntil, requests that need refuseNeed units or more are refused without a grant request.
+	refuseUntil time.Time
+	refuseNeed  float64
+	retryAfter  time.Duration
+	// share is the level as of shareAt of the bucket that holds the node's own share; it is reset whenever the node
+	// becomes partitioned. threshold is the random fraction, from 0 to 1, of a request's need that the bucket must
+	// hold to let it pass.
+	share     float64
+	shareAt   time.Time
+	threshold float64
 }
 
-// NewPurse returns the purse of one life of a node, which has heard of nobody.
-func NewPurse(life string, tolerance Tolerance) *Purse {
-	return &Purse{life: life, tolerance: tolerance, accounts: make(map[string]*account)}
+// NewPurse returns the purse of a node's process, which has had no answer yet. The incarnation identifies the
+// process.
+func NewPurse(incarnation string, tolerance Tolerance) *Purse {
+	return &Purse{incarnation: incarnation, tolerance: tolerance, accounts: make(map[string]*account)}
 }
 
-// Members returns over how many nodes the limits were parted by the latest answer.
+// Members returns the number of nodes over which limits are divided by the latest answer.
 func (p *Purse) Members() int { return p.members }
 
-// Alone reports whether the node spends its own part.
-func (p *Purse) Alone() bool { return !p.aloneSince.IsZero() }
+// Alone reports whether the node is partitioned from the granter and spends its own share.
+func (p *Purse) Alone() bool { return !p.partitionedSince.IsZero() }
 
-// Heard notes an answer to a question that was sent at a moment.
+// Heard records an answer, with the number of nodes that it told, to a grant request that was sent at the given time.
 func (p *Purse) Heard(sent time.Time, members int) {
-	p.members, p.aloneSince = members, time.Time{}
-	if sent.After(p.heardAt) {
-		p.heardAt = sent
+	p.members, p.partitionedSince = members, time.Time{}
+	if sent.After(p.answeredAt) {
+		p.answeredAt = sent
 	}
 }
 
-// Lost notes that a question got no answer. It counts only if none was answered that
-// was sent later.
+// Lost records that a grant request got no answer. It is ignored if a request that was sent later was answered.
 func (p *Purse) Lost(sent, now time.Time) {
-	if p.Alone() || sent.Before(p.heardAt) {
+	if p.Alone() || sent.Before(p.answeredAt) {
 		return
 	}
-	p.aloneSince = now
+	p.partitionedSince = now
 }
 
-// account returns a customer's account.
+// account returns the account of a name, creating it if needed.
 func (p *Purse) account(name string) *account {
 	a := p.accounts[name]
 	if a == nil {
@@ -125,7 +128,7 @@
 	return a
 }
 
-// Take decides on a request, and charges it where it may pass by what is here.
+// Take decides on a customer's request of need units, and charges it if the units held here suffice.
 func (p *Purse) Take(name string, l customer.Limit, need float64, now time.Time) Decision {
 	if !l.Limited() {
 		return Decision{}
@@ -133,123 +136,122 @@
 	return p.TakeBound(name, p.tolerance.Bound(l), need, now)
 }
 
-// TakeBound is Take of any bound.
+// TakeBound is like Take, for any bound; name is that of its account.
 func (p *Purse) TakeBound(name string, of Bound, need float64, now time.Time) Decision {
 	a := p.account(name)
-	a.note(need, now)
+	a.recordUsage(need, now)
 	switch {
-	case now.Before(a.expires) && a.held >= need:
-		a.held -= need
+	case now.Before(a.expires) && a.credit >= need:
+		a.credit -= need
 		return Decision{}
 	case p.Alone():
-		return p.takeAlone(a, name, of, need, now)
-	case now.Before(a.closed) && need >= a.closedNeed:
-		return Decision{Step: Over, After: a.after}
+		return p.takePartitioned(a, name, of, need, now)
+	case now.Before(a.refuseUntil) && need >= a.refuseNeed:
+		return Decision{Step: Over, After: a.retryAfter}
 	}
-	return Decision{Step: AskFor, Ahead: a.ahead(need)}
+	return Decision{Step: AskFor, Ahead: a.prefetch(need)}
 }
 
-// ahead returns what to ask for beyond a request's need: nothing where few would come in
-// time, since what is not spent is lost to the others.
-func (a *account) ahead(need float64) float64 {
-	x := a.use * aheadFor.Seconds()
-	if x < aheadFrom*need {
+// prefetch returns how many units to request beyond a request's need. It is 0 where few requests are expected, since
+// units that are not spent in time are lost to other nodes.
+func (a *account) prefetch(need float64) float64 {
+	x := a.usageRate * prefetchWindow.Seconds()
+	if x < prefetchMinRequests*need {
 		return 0
 	}
 	return x
 }
 
-// note takes a request into the account's use.
-func (a *account) note(need float64, now time.Time) {
-	a.use *= max(0, 1-now.Sub(a.usedAt).Seconds()/useOver.Seconds())
-	a.use += need / useOver.Seconds()
-	a.usedAt = now
+// recordUsage adds a request to the account's average usage.
+func (a *account) recordUsage(need float64, now time.Time) {
+	a.usageRate *= max(0, 1-now.Sub(a.usageAt).Seconds()/usageWindow.Seconds())
+	a.usageRate += need / usageWindow.Seconds()
+	a.usageAt = now
 }
 
-// takeAlone spends the node's own part. A part is mostly less than a request: which nodes
-// let the next one pass is drawn, so that all together let as much pass as their parts
-// come to.
-func (p *Purse) takeAlone(a *account, name string, of Bound, need float64, now time.Time) Decision {
+// takePartitioned spends the node's own share. A share is mostly smaller than one request. Each node therefore draws
+// a random threshold for its next request, so that all nodes together admit as much as the sum of their shares.
+func (p *Purse) takePartitioned(a *account, name string, of Bound, need float64, now time.Time) Decision {
 	nodes := p.nodes(of, now)
 	if nodes == 0 {
-		return Decision{Step: Unknown, After: unknownAfter}
+		return Decision{Step: Unknown, After: unknownRetryAfter}
 	}
-	rate := of.AloneRate / float64(nodes)
-	if a.partAt.Before(p.aloneSince) {
-		a.part, a.partAt = of.AloneStart/float64(nodes), p.aloneSince
-		a.redraw(p.life, name, now)
+	rate := of.PartitionedRate / float64(nodes)
+	if a.shareAt.Before(p.partitionedSince) {
+		a.share, a.shareAt = of.PartitionedBurst/float64(nodes), p.partitionedSince
+		a.drawThreshold(p.incarnation, name, now)
 	}
-	a.part += rate * now.Sub(a.partAt).Seconds()
-	a.partAt = now
-	if short := a.draw*need - a.part; short > 0 {
-		return Decision{Step: Over, After: min(longestHint, time.Duration(short/rate*float64(time.Second)))}
+	a.share += rate * now.Sub(a.shareAt).Seconds()
+	a.shareAt = now
+	if short := a.threshold*need - a.share; short > 0 {
+		return Decision{Step: Over, After: min(maxRetryAfter, time.Duration(short/rate*float64(time.Second)))}
 	}
-	a.part -= need
-	a.redraw(p.life, name, now)
+	a.share -= need
+	a.drawThreshold(p.incarnation, name, now)
 	return Decision{}
 }
 
-// nodes returns over how many nodes a node that is alone parts a bound; 0 where that is not known.
+// nodes returns the number of nodes over which a partitioned node divides a bound; 0 if it is not known.
 func (p *Purse) nodes(of Bound, now time.Time) int {
 	switch {
-	case of.Nodes > 0:
-		return max(of.Nodes, p.members)
-	case now.Sub(p.heardAt) > WordLife:
+	case of.MinNodes > 0:
+		return max(of.MinNodes, p.members)
+	case now.Sub(p.answeredAt) > PartitionedTTL:
 		return 0
 	}
 	return p.members
 }
 
-// ForgetIdle drops the accounts that nothing was charged to lately.
+// ForgetIdle drops the accounts that no request used for idleTTL.
 func (p *Purse) ForgetIdle(now time.Time) {
 	for name, a := range p.accounts {
-		if now.Sub(a.usedAt) > idleLife {
+		if now.Sub(a.usageAt) > idleTTL {
 			delete(p.accounts, name)
 		}
 	}
 }
 
-// redraw draws which part of the next request must be there, from 0 to 1.
-func (a *account) redraw(life, name string, now time.Time) {
-	h := xxhash.Sum64String(life + "\x00" + name + "\x00" + strconv.FormatInt(now.UnixNano(), 10))
-	a.draw = float64(h>>11) / (1 << 53)
+// drawThreshold draws the fraction, from 0 to 1, of the next request's need that the node's share must hold.
+func (a *account) drawThreshold(incarnation, name string, now time.Time) {
+	h := xxhash.Sum64String(incarnation + "\x00" + name + "\x00" + strconv.FormatInt(now.UnixNano(), 10))
+	a.threshold = float64(h>>11) / (1 << 53)
 }
 
-// Granted takes in the answer to a question that was sent at a moment, and charges its
-// request.
+// Granted records the units granted by an answer to a grant request that was sent at the given time, and charges the
+// need of the request that caused it. Credit expires creditTTL after sent.
 func (p *Purse) Granted(name string, granted, need float64, sent time.Time) {
 	a := p.account(name)
 	if !sent.Before(a.expires) {
-		a.held = 0
+		a.credit = 0
 	}
-	a.held += max(0, granted-need)
-	a.expires = sent.Add(creditLife)
-	a.closed = time.Time{}
+	a.credit += max(0, granted-need)
+	a.expires = sent.Add(creditTTL)
+	a.refuseUntil = time.Time{}
 }
 
-// Refused takes in that a question found no room.
+// Refused records that the granter refused need units until after has passed.
 func (p *Purse) Refused(name string, need float64, after time.Duration, now time.Time) {
 	a := p.account(name)
-	a.closed, a.closedNeed, a.after = now.Add(min(after, closedAtMost)), need, after
+	a.refuseUntil, a.refuseNeed, a.retryAfter = now.Add(min(after, maxLocalRefusal)), need, after
 }
 
-// GiveBack takes back what a request was charged that has certainly not run, if it was
-// charged so lately that it counts to the same time.
+// GiveBack refunds the charge of a request that certainly did not run. Refunds later than creditTTL after the charge
+// are ignored, since the units would count towards another time.
 func (p *Purse) GiveBack(name string, amount float64, charged, now time.Time) {
 	a := p.accounts[name]
-	if a == nil || now.Sub(charged) > creditLife {
+	if a == nil || now.Sub(charged) > creditTTL {
 		return
 	}
 	if !now.Before(a.expires) {
-		a.held = 0
+		a.credit = 0
 	}
-	a.held += amount
-	if until := charged.Add(creditLife); until.After(a.expires) {
+	a.credit += amount
+	if until := charged.Add(creditTTL); until.After(a.expires) {
 		a.expires = until
 	}
 }
 
-// Forget drops the accounts of customers that there are no more.
+// Forget drops the accounts whose names are not known, such as those of deleted customers.
 func (p *Purse) Forget(known func(name string) bool) {
 	for name := range p.accounts {
 		if !known(name) {
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -15,22 +15,22 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// TestBeginsEmpty checks that a granter that has just begun grants what came in since,
-// and nothing of a burst.
+// TestBeginsEmpty guards against a new granter that starts with full buckets: it may grant only what the rate brought
+// since its start.
 func TestBeginsEmpty(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 100}
 	g := NewGranter(Tolerance{}, 0, start)
 	g.Heard("a", false, start)
 	got := []Answer{g.Ask("c", l, 10, 0, start), g.Ask("c", l, 10, 0, at(100*time.Millisecond)), g.Ask("c", l, 10, 0, at(100*time.Millisecond))}
-	// The second to be refused comes after the first.
+	// The second refused request is scheduled behind the first.
 	want := []Answer{{After: 100 * time.Millisecond}, {Granted: 10}, {After: 100 * time.Millisecond}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("answers (-want +got):\n%s", diff)
 	}
 }
 
-// TestReturnInOrder checks that refused requests are told to come back one after the
-// other: told the same moment they would all be refused again but one.
+// TestReturnInOrder guards against refused requests that are told the same retry time: all but one would be refused
+// again.
 func TestReturnInOrder(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 10}
 	g := NewGranter(Tolerance{}, 0, start)
@@ -40,42 +40,41 @@
 		got = append(got, g.Ask("c", l, 10, 0, start).After)
 	}
 	if diff := cmp.Diff([]time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond}, got); diff != "" {
-		t.Errorf("times of return (-want +got):\n%s", diff)
+		t.Errorf("retry delays (-want +got):\n%s", diff)
 	}
 }
 
-// TestParts checks that a granter spends the parts of the nodes that ask it, and not
-// those of nodes that are alone, silent, or only known of.
+// TestParts checks that a granter spends the shares of the nodes that contact it, and not those of nodes that are
+// partitioned, silent, or only known to exist.
 func TestParts(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 1000}
 	tests := []struct {
 		name    string
-		least   int
-		hear    func(g *Granter)
+		known   int
+		report  func(g *Granter)
 		members int
 		second  float64
 	}{
 		{"all in touch", 0, func(g *Granter) { g.Heard("a", false, start); g.Heard("b", false, start) }, 2, 100},
 		{"one alone", 0, func(g *Granter) { g.Heard("a", false, start); g.Heard("b", true, start) }, 2, 50},
 		{"others known of", 4, func(g *Granter) { g.Heard("a", false, start) }, 4, 25},
-		{"one silent", 0, func(g *Granter) { g.Heard("a", false, at(HeardLife)); g.Heard("b", false, start.Add(-time.Second)) }, 2, 50},
-		{"one forgotten", 0, func(g *Granter) { g.Heard("a", false, start); g.Heard("b", false, start.Add(-memberLife)) }, 1, 100},
+		{"one silent", 0, func(g *Granter) { g.Heard("a", false, at(AttachmentTTL)); g.Heard("b", false, start.Add(-time.Second)) }, 2, 50},
+		{"one forgotten", 0, func(g *Granter) { g.Heard("a", false, start); g.Heard("b", false, start.Add(-memberTTL)) }, 1, 100},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := NewGranter(Tolerance{}, tt.least, start)
-			tt.hear(g)
+			g := NewGranter(Tolerance{}, tt.known, start)
+			tt.report(g)
 			now := at(time.Second)
-			g.fill("c", g.tolerance.Bound(l), g.part(now), now)
+			g.fill("c", g.tolerance.Bound(l), g.share(now), now)
 			if got := g.buckets["c"].level; got != tt.second || g.Members(now) != tt.members {
-				t.Errorf("a second brought %v of %d nodes, want %v of %d", got, g.Members(now), tt.second, tt.members)
+				t.Errorf("one second added %v units for %d nodes, want %v of %d", got, g.Members(now), tt.second, tt.members)
 			}
 		})
 	}
 }
 
-// TestBeyondBurst checks that a customer whose requests each exceed its burst is served
-// at its rate.
+// TestBeyondBurst checks that a customer whose single requests exceed its burst is served at its rate.
 func TestBeyondBurst(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 10}
 	g, served := NewGranter(Tolerance{}, 0, start), 0
@@ -90,8 +89,8 @@
 	}
 }
 
-// TestLimitChanges checks that a lowered limit takes hold at once, a raised one at the
-// next question, and that one of 0 is none.
+// TestLimitChanges checks that a lowered limit takes effect at once, a raised one with the next grant request, and
+// that a rate of 0 means no limit.
 func TestLimitChanges(t *testing.T) {
 	g := NewGranter(Tolerance{}, 0, start)
 	g.Heard("a", false, at(9*time.Second))
@@ -113,8 +112,8 @@
 	}
 }
 
-// TestNeverMoreThanABucket compares a granter with the definition of the limit: in no
-// span of time is more granted than the rate brings in it, the burst, and one request.
+// TestNeverMoreThanABucket checks a granter against the definition of a token bucket: in any span of time it grants
+// at most the rate times the span, the burst, and one request.
 func TestNeverMoreThanABucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := customer.Limit{Rate: float64(rapid.IntRange(1, 200).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 300).Draw(t, "burst"))}
@@ -132,7 +131,7 @@
 			most = max(most, need)
 			a := g.Ask("c", l, need, float64(rapid.IntRange(0, 100).Draw(t, "ahead")), now)
 			if a.Granted == 0 && need > 0 && a.After <= 0 {
-				t.Fatalf("refused with no moment to return: %+v", a)
+				t.Fatalf("refused without a retry delay: %+v", a)
 			}
 			grants = append(grants, grant{now, a.Granted})
 		}
@@ -148,9 +147,8 @@
 	})
 }
 
-// TestPurse walks a node through its steps: it asks, spends what it asked ahead, refuses
-// by itself for a moment, spends its own part when nobody answers, and stops when its
-// word is old.
+// TestPurse takes a node through all steps: it requests a grant, spends prefetched units, refuses by itself for a
+// moment after a refusal, spends its own share while partitioned, and stops when its latest answer is too old.
 func TestPurse(t *testing.T) {
 	l := customer.Limit{Rate: 1000, Burst: 1000}
 	p := NewPurse("a-1", Tolerance{})
@@ -167,10 +165,10 @@
 	add(step(5, 170*time.Millisecond))
 	add(step(20, 260*time.Millisecond))
 	p.Lost(at(260*time.Millisecond), at(300*time.Millisecond))
-	// 100 are there, and 500 a second come.
+	// The share starts at 100 units and grows by 500 per second.
 	add(step(60, 320*time.Millisecond))
 	add(step(900, 330*time.Millisecond))
-	add(step(10, WordLife+time.Millisecond))
+	add(step(10, PartitionedTTL+time.Millisecond))
 	p.Heard(at(9*time.Second), 2)
 	add(step(10, 9*time.Second))
 	want := []Step{AskFor, Pass, AskFor, Over, Pass, AskFor, Pass, Over, Unknown, AskFor}
@@ -179,24 +177,24 @@
 	}
 }
 
-// TestLateAnswers checks that an answer that no longer counts changes nothing: a lost
-// question sent before an answered one, and credit that comes when it has run out.
+// TestLateAnswers checks that outdated answers change nothing: a lost grant request that was sent before an answered
+// one, and credit that arrives after it has expired.
 func TestLateAnswers(t *testing.T) {
 	l := customer.Limit{Rate: 1000, Burst: 1000}
 	p := NewPurse("a-1", Tolerance{})
 	p.Heard(at(time.Second), 2)
 	p.Lost(at(500*time.Millisecond), at(1100*time.Millisecond))
 	if p.Alone() {
-		t.Error("a question sent before an answered one puts the node alone")
+		t.Error("a question sent before an answered one makes the node partitioned")
 	}
 	p.Granted("c", 100, 10, at(0))
 	if d := p.Take("c", l, 10, at(time.Second)); d.Step != AskFor {
-		t.Errorf("credit that has run out lets a request pass: %+v", d)
+		t.Errorf("expired credit admits a request: %+v", d)
 	}
 }
 
-// TestGiveBack checks that what was charged comes back once, and not when it would count
-// to another time.
+// TestGiveBack checks that a charge is refunded once, and not when it is so old that it would count towards another
+// time.
 func TestGiveBack(t *testing.T) {
 	l := customer.Limit{Rate: 1000, Burst: 1000}
 	tests := []struct {
@@ -205,7 +203,7 @@
 		want Step
 	}{
 		{"at once", 10 * time.Millisecond, Pass},
-		{"late", creditLife + time.Millisecond, AskFor},
+		{"late", creditTTL + time.Millisecond, AskFor},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -223,8 +221,8 @@
 	}
 }
 
-// TestDrawsAreFair checks that nodes whose parts are far less than a request let as much
-// pass together as their parts come to.
+// TestDrawsAreFair checks that nodes whose shares are far smaller than one request together admit as much as the sum
+// of their shares.
 func TestDrawsAreFair(t *testing.T) {
 	const nodes, need = 400, 1100.0
 	l := customer.Limit{Rate: 22000, Burst: 22000}
@@ -239,15 +237,14 @@
 			}
 		}
 	}
-	// 4.2 s of the rate; the draws of 400 nodes vary by some 9 in 100 of it.
+	// 4.2 s of the rate; the random thresholds of 400 nodes make the sum vary by about 9%.
 	if want := 4.2 * l.Rate; passed < want*2/3 || passed > want*4/3 {
-		t.Errorf("%v passed at all nodes together, want about %v", passed, want)
+		t.Errorf("%v admitted by all nodes together, want about %v", passed, want)
 	}
 }
 
-// TestRefusalHasAMoment checks that who is refused is told to come back later than now. Found
-// by TestNeverMoreThanABucket in .ci/run: at a rate of 200, a third of it in touch, 30 ms work
-// off a debt of 2 but for 4e-16, so that a request was refused "after 0s".
+// TestRefusalHasAMoment guards against a refusal with a retry delay of 0: at a rate of 200, a third of it attached,
+// 30 ms work off a deficit of 2 except for a rounding error of 4e-16, which was truncated to "after 0s".
 func TestRefusalHasAMoment(t *testing.T) {
 	l := customer.Limit{Rate: 200}
 	g := NewGranter(Tolerance{}, 0, start)
@@ -256,6 +253,6 @@
 	g.Ask("c", l, 2, 0, start)
 	g.Heard("c", false, at(30*time.Millisecond))
 	if a := g.Ask("c", l, 1, 0, at(30*time.Millisecond)); a.Granted == 0 && a.After <= 0 {
-		t.Errorf("refused with no moment to return: %+v", a)
+		t.Errorf("refused without a retry delay: %+v", a)
 	}
 }
