--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -7,11 +7,10 @@
 	"time"
 )
 
-// BenchmarkHeld tells what the look-up of a request costs where 10,000 are remembered; there was none
-// before. BenchmarkFingerprint tells the same of the hash, of which once-only requests made one
-// before and others none.
+// BenchmarkHeld measures the lookup of a request, which every admission makes, with 10,000 records.
+// BenchmarkFingerprint measures the hash that each request needs for it.
 func BenchmarkHeld(b *testing.B) {
-	r := full()
+	r := fullRegistry()
 	f := request(77)
 	now := at(time.Minute)
 	for b.Loop() {
@@ -26,26 +25,26 @@
 	}
 }
 
-// full returns a registry that remembers as many requests as it may, a few convicted, each blamed for one
-// end of twenty.
-func full() *Registry {
+// fullRegistry returns a registry with the maximum number of records, each suspected of one of many crashes with 20
+// suspects, and some with a verdict.
+func fullRegistry() *Registry {
 	r := NewRegistry(start)
 	r.SetEngines(500)
-	for i := range mostRecords / 20 {
-		ended(r, fmt.Sprint("e", i), time.Duration(i)*time.Second, 80*time.Millisecond, spread(20*i, 20)...)
+	for i := range maxRecords / 20 {
+		crashed(r, fmt.Sprint("e", i), time.Duration(i)*time.Second, 80*time.Millisecond, numbers(20*i, 20)...)
 	}
 	return r
 }
 
-// memoryBound is what 10,000 requests may take.
+// memoryBound is how many bytes 10,000 records may use.
 const memoryBound = 5 << 19
 
-// TestMemory checks what a full registry takes.
+// TestMemory guards against records that use more memory than budgeted.
 func TestMemory(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	r := full()
+	r := fullRegistry()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	used := int64(after.HeapAlloc) - int64(before.HeapAlloc)
--- a/core/quarantine/bounds.go
+++ b/core/quarantine/bounds.go
@@ -6,102 +6,103 @@
 	"time"
 )
 
-// Bounds of what is remembered.
+// Limits on memory and retention.
 const (
-	// mostRecords bounds the requests, and mostVerdicts those of them with a verdict. Suspects
-	// make way for suspects, never for them a verdict.
-	mostRecords  = 10000
-	mostVerdicts = 5000
-	// mostEndsKept bounds the ends, and mostSuspects the requests blamed for one.
-	mostEndsKept = 512
-	mostSuspects = 512
-	// mostBlames bounds the blames of one request: beyond, one more changes nothing.
-	mostBlames = 6
-	// suspectLife is how long a blame counts: a caller that sends a request again does so within
-	// its deadline or, by a program's schedule, some minutes later.
-	suspectLife = 10 * time.Minute
-	// verdictLife is how long a verdict is kept of a request that does not come any more.
-	verdictLife = 24 * time.Hour
-	// Settle is how long after the latest blame for an end all are known: connections break within
-	// milliseconds, and nodes report at once.
+	// maxRecords bounds the number of records, and maxVerdicts those with a verdict. New suspects evict older
+	// suspects, never a verdict.
+	maxRecords  = 10000
+	maxVerdicts = 5000
+	// maxCrashRecords bounds the number of crashes, and maxSuspects the suspects of one crash.
+	maxCrashRecords = 512
+	maxSuspects     = 512
+	// maxSuspicions bounds the suspicions of one request; one more would not change its state.
+	maxSuspicions = 6
+	// suspicionTTL is how long a suspicion counts. A caller retries a request within its deadline or, if a program
+	// schedules it, some minutes later.
+	suspicionTTL = 10 * time.Minute
+	// verdictTTL is how long a verdict is kept after the request was last seen.
+	verdictTTL = 24 * time.Hour
+	// Settle is how long after the latest suspicion of a crash all of its suspects are assumed to be known:
+	// connections break within milliseconds, and nodes report at once.
 	Settle = 250 * time.Millisecond
-	// Tell is how long a verdict takes from where all blames come together to the other nodes.
+	// Tell is the time that a verdict takes from the node that joins the blames of all nodes to the other nodes.
 	Tell = 200 * time.Millisecond
 )
 
-// boundEnds keeps the ends within their bound; the oldest go.
-func (r *Registry) boundEnds() {
-	if len(r.ends) <= mostEndsKept {
+// evictCrash removes the oldest crash if there are too many.
+func (r *Registry) evictCrash() {
+	if len(r.crashes) <= maxCrashRecords {
 		return
 	}
-	var oldest *end
-	for _, e := range r.ends {
+	var oldest *crash
+	for _, e := range r.crashes {
 		if oldest == nil || e.at < oldest.at {
 			oldest = e
 		}
 	}
-	delete(r.ends, oldest.id)
+	delete(r.crashes, oldest.id)
 }
 
-// roomShare is the part of the records that makes way at once, so that a flood costs little for
-// each of its requests.
-const roomShare = 16
+// When the registry is full, 1/evictionDivisor of the records are evicted at once, so that a flood of suspects has a
+// low cost per request.
+const evictionDivisor = 16
 
-// makeRoom drops the suspects that were blamed first. A verdict never makes way for a suspect.
-func (r *Registry) makeRoom() bool {
+// evictSuspects removes the suspects that were first suspected longest ago, and reports whether there was one. It
+// never removes a verdict.
+func (r *Registry) evictSuspects() bool {
 	var suspects []*record
 	for _, rec := range r.records {
-		if !rec.convicted {
+		if !rec.hasVerdict {
 			suspects = append(suspects, rec)
 		}
 	}
-	slices.SortFunc(suspects, func(a, b *record) int { return cmp.Compare(a.at, b.at) })
-	for _, rec := range suspects[:min(len(suspects), mostRecords/roomShare)] {
-		r.drop(rec)
+	slices.SortFunc(suspects, func(a, b *record) int { return cmp.Compare(a.since, b.since) })
+	for _, rec := range suspects[:min(len(suspects), maxRecords/evictionDivisor)] {
+		r.remove(rec)
 	}
 	return len(suspects) > 0
 }
 
-// drop forgets a record.
-func (r *Registry) drop(rec *record) {
-	r.clearBlames(rec)
-	r.setConvicted(rec, false)
+// remove deletes a record.
+func (r *Registry) remove(rec *record) {
+	r.clearSuspicions(rec)
+	r.setVerdict(rec, false)
 	delete(r.pending, rec)
 	delete(r.records, rec.request)
 }
 
-// boundVerdicts drops the verdict of the request that did not come for longest if there are
-// too many, but not that of one record.
-func (r *Registry) boundVerdicts(but *record) {
-	if r.verdicts <= mostVerdicts {
+// evictVerdict removes the verdict whose request was not seen for longest if there are too many verdicts, but never
+// that of the record but.
+func (r *Registry) evictVerdict(except *record) {
+	if r.verdicts <= maxVerdicts {
 		return
 	}
 	var oldest *record
 	for _, rec := range r.records {
-		if rec != but && rec.convicted && (oldest == nil || rec.seenAt < oldest.seenAt) {
+		if rec != except && rec.hasVerdict && (oldest == nil || rec.seenAt < oldest.seenAt) {
 			oldest = rec
 		}
 	}
 	if oldest != nil {
-		r.drop(oldest)
+		r.remove(oldest)
 	}
 }
 
-// Expire forgets what was not heard of for long.
+// Expire removes the records and crashes whose retention time is over.
 func (r *Registry) Expire(now time.Time) {
 	at := now.Sub(r.base)
 	for _, rec := range r.records {
-		life, since := suspectLife, rec.at
-		if rec.convicted {
-			life, since = verdictLife, rec.verdictAt
+		ttl, since := suspicionTTL, rec.since
+		if rec.hasVerdict {
+			ttl, since = verdictTTL, rec.verdictAt
 		}
-		if at-max(since, rec.seenAt) > life {
-			r.drop(rec)
+		if at-max(since, rec.seenAt) > ttl {
+			r.remove(rec)
 		}
 	}
-	for id, e := range r.ends {
-		if at-e.at > suspectLife && len(e.suspects) == 0 {
-			delete(r.ends, id)
+	for id, e := range r.crashes {
+		if at-e.at > suspicionTTL && len(e.suspects) == 0 {
+			delete(r.crashes, id)
 		}
 	}
 }
--- a/core/quarantine/doc.go
+++ b/core/quarantine/doc.go
@@ -1,18 +1,18 @@
-// Package quarantine decides which requests are kept from engines, because engines end
-// under them.
+// Package quarantine decides which requests are no longer sent to engines, because engines crash while they run them.
 //
-// The problem: a request may end each engine that begins it, and it comes again at any
-// node. Where nothing of it is remembered, one such request ends engine after engine, each with all
-// that runs there. But an end of an engine has many suspects, of which at most one did it, and
-// engines also end for other reasons: who counts ends alone refuses proper requests.
+// A request may crash each engine that begins it, and clients retry it at any node. Unless nodes remember it, one
+// such request crashes engine after engine, each with all requests that run there. But a crash has many suspects, of
+// which at most one caused it, and engines also crash for other reasons: counting crashes alone would refuse harmless
+// requests.
 //
-// The model: a request is named by its [Fingerprint], the same for each of its caller's tries at every
-// node. A [Tracker] knows which requests run where; when an engine has ended, each that it ran
-// is blamed, with how long it had run. A [Registry] joins the blames of all nodes and holds, for each
-// request, a [State]. It weighs the blames against each other: an end that is explained by another request, by
-// many ends at once or by a long run says little, two ends soon after the beginning say nearly all.
-// A good answer clears. What is known is exchanged as [Entry] values, which join in any order, any
-// number of times, to the same state.
+// A request is identified by its [Fingerprint], which is the same for all attempts of one caller at all nodes. A
+// [Tracker] knows which requests run on which engines; when an engine has crashed, each request that it ran becomes a
+// suspect, with a [Blame] that tells how long it had run. A [Registry] joins the blames of all nodes and keeps a
+// [State] for each request, from the probability that the request crashes engines. A crash that is explained by
+// another suspect, by many simultaneous crashes or by a long run raises the probability little; two crashes soon
+// after the request began raise it almost to 1. A successful answer clears the request. Nodes exchange what they know
+// as [Entry] values, whose merge is commutative, associative and idempotent.
 //
-// Nothing here does I/O or reads a clock; time comes in as an argument.
+// The package is used through the guard in internal/isolation. It does no I/O and reads no clock; the time is passed
+// in.
 package quarantine
--- a/core/quarantine/entry.go
+++ b/core/quarantine/entry.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// EndID names one end of an engine.
+// EndID identifies one crash of an engine.
 type EndID struct {
 	Engine string `json:"engine"`
-	// Start tells the engine's lives apart, in Unix milliseconds; 0 where that is not told.
+	// Start identifies the engine's incarnation by its start time in Unix milliseconds; 0 if the engine does not
+	// publish it.
 	Start int64 `json:"start,omitempty"`
-	// N counts the ends under one id and start; above 0 only where starts are not told.
+	// N numbers the crashes with the same Engine and Start; it is above 0 only where Start is 0.
 	N int `json:"n,omitempty"`
 }
 
-// compare orders ends.
+// compare defines the order of crashes in an entry.
 func (e EndID) compare(o EndID) int {
 	return cmp.Or(cmp.Compare(e.Engine, o.Engine), cmp.Compare(e.Start, o.Start), cmp.Compare(e.N, o.N))
 }
 
-// Blame says that an engine ended while it had a request.
+// Blame is the suspicion that a request crashed an engine: the engine crashed while it had the request.
 type Blame struct {
 	End EndID
-	// Ran is for how long it had it.
+	// Ran is how long the engine had the request before the crash.
 	Ran time.Duration
-	// Begun is true when the engine had begun to answer.
+	// Begun is true if the engine had begun to answer.
 	Begun bool
-	// At is when the end was noticed.
+	// At is when the crash was noticed.
 	At time.Time
 }
 
-// Verdict says that a request is kept from engines.
+// Verdict records that a request is quarantined.
 type Verdict struct {
-	// At is when that was decided, or when the latest trial began.
+	// At is when the verdict was reached, or when the latest trial began.
 	At time.Time
-	// Trials counts the runs that were tried since.
+	// Trials counts the trial runs since the verdict.
 	Trials int
 }
 
-// Entry is what one node knows of a request, as it is told to others. Entries join: of two
-// epochs the later one counts alone; within one, blames are united and the verdict
-// with more trials counts.
+// Entry is one node's knowledge of a request, as sent to other nodes and the store. Entries merge: the later epoch
+// replaces the earlier one; within one epoch the blames are united, and the verdict with more trials wins.
 type Entry struct {
 	Request Fingerprint
-	// Epoch counts how often the request was cleared: blames of before are void.
+	// Epoch counts how often the request was cleared; blames of earlier epochs are void.
 	Epoch uint32
-	// At is when the epoch began, or the request was first blamed.
+	// At is when the epoch began, or when the request was first suspected.
 	At time.Time
-	// Blames are in the order of their ends, one for each.
+	// Blames are sorted by End, one for each.
 	Blames []Blame
-	// Verdict is nil while there is none.
+	// Verdict is nil if the request is not quarantined.
 	Verdict *Verdict
 }
 
-// empty reports whether the entry says nothing.
+// empty reports whether the entry holds no information.
 func (e *Entry) empty() bool { return e.Epoch == 0 && len(e.Blames) == 0 && e.Verdict == nil }
--- a/core/quarantine/exchange.go
+++ b/core/quarantine/exchange.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// Scope says which records are told.
+// Scope selects the records to send to another node.
 type Scope uint8
 
-// The scopes.
+// Possible scopes.
 const (
-	// All: between nodes that have nobody to unite what they know.
+	// All selects every record. It is used between nodes while no node joins the blames of all.
 	All Scope = iota
-	// Own: to one that unites the blames of all nodes, those that this node knows by itself.
+	// Own selects the records that this node has blamed or cleared itself, to be sent to the node that joins the
+	// blames of all nodes.
 	Own
-	// Concerning: only those that concern nodes which do not blame the request themselves:
-	// most requests that an engine's end is blamed on are never blamed again.
+	// Concerning selects the records that matter to nodes which do not suspect the request themselves. The rest is
+	// left out, since most suspects of a crash are never suspected again.
 	Concerning
 )
 
-// Since returns what changed since a version, and the version that this leads to.
+// Since returns the records in scope that changed after a version, and the current version.
 func (r *Registry) Since(version uint64, scope Scope) ([]Entry, uint64) {
-	if version >= r.version || scope == Concerning && version >= r.toldVersion {
+	if version >= r.version || scope == Concerning && version >= r.sharedVersion {
 		return nil, r.version
 	}
 	var out []Entry
 	for _, rec := range r.records {
-		if rec.version > version && rec.within(scope) {
+		if rec.version > version && rec.inScope(scope) {
 			out = append(out, r.entry(rec))
 		}
 	}
 	return out, r.version
 }
 
-func (rec *record) within(s Scope) bool {
+func (rec *record) inScope(s Scope) bool {
 	switch s {
 	case Own:
-		return rec.own
+		return rec.local
 	case Concerning:
-		return rec.told
+		return rec.shared
 	}
 	return true
 }
@@ -48,35 +49,34 @@
 	return Entry{Request: f}
 }
 
-// entry returns a record as it is told.
+// entry converts a record to its form for other nodes.
 func (r *Registry) entry(rec *record) Entry {
-	e := Entry{Request: rec.request, Epoch: rec.epoch, At: r.base.Add(rec.at)}
-	for i := range rec.blames {
-		b := &rec.blames[i]
-		e.Blames = append(e.Blames, Blame{End: b.end.id, Ran: b.ran, Begun: b.begun, At: r.base.Add(b.at)})
+	e := Entry{Request: rec.request, Epoch: rec.epoch, At: r.base.Add(rec.since)}
+	for i := range rec.suspicions {
+		b := &rec.suspicions[i]
+		e.Blames = append(e.Blames, Blame{End: b.crash.id, Ran: b.elapsed, Begun: b.begun, At: r.base.Add(b.at)})
 	}
-	if rec.convicted {
+	if rec.hasVerdict {
 		e.Verdict = &Verdict{At: r.base.Add(rec.verdictAt), Trials: int(rec.trials)}
 	}
 	return e
 }
 
-// Merge takes in what another node knows, and returns the requests of which something else is
-// thought now.
+// Merge adds another node's entries, and returns the requests whose state changed.
 func (r *Registry) Merge(entries []Entry, now time.Time) []Fingerprint {
 	var touched []*record
 	for i := range entries {
-		if rec, news := r.join(&entries[i], now); news {
-			r.changed(rec)
+		if rec, changed := r.mergeEntry(&entries[i], now); changed {
+			r.bumpVersion(rec)
 			touched = append(touched, rec)
 		}
 	}
-	r.judge(touched, now)
-	return r.takeMoved()
+	r.reevaluate(touched, now)
+	return r.takeTransitioned()
 }
 
-// join takes one entry in and reports whether it was news.
-func (r *Registry) join(e *Entry, now time.Time) (rec *record, news bool) {
+// mergeEntry merges one entry, and reports whether it changed anything.
+func (r *Registry) mergeEntry(e *Entry, now time.Time) (rec *record, changed bool) {
 	if e.empty() || r.expired(e, now) {
 		return nil, false
 	}
@@ -92,24 +92,24 @@
 	if e.Epoch > rec.epoch {
 		r.newEpoch(rec, e.Epoch, e.At.Sub(r.base))
 		r.apply(rec, goodAnswer, now)
-		news = true
+		changed = true
 	}
-	// The same moment may be told with less delay.
-	rec.at = min(rec.at, e.At.Sub(r.base))
+	// Another node may have recorded the same event earlier.
+	rec.since = min(rec.since, e.At.Sub(r.base))
 	for _, b := range e.Blames {
-		news = r.addBlame(rec, b, now) || news
+		changed = r.addSuspicion(rec, b, now) || changed
 	}
-	return rec, r.joinVerdict(rec, e.Verdict, now) || news
+	return rec, r.mergeVerdict(rec, e.Verdict, now) || changed
 }
 
-func (r *Registry) joinVerdict(rec *record, v *Verdict, now time.Time) bool {
+func (r *Registry) mergeVerdict(rec *record, v *Verdict, now time.Time) bool {
 	if v == nil {
 		return false
 	}
-	at, trials := v.At.Sub(r.base), uint8(min(v.Trials, len(trialGaps)))
+	at, trials := v.At.Sub(r.base), uint8(min(v.Trials, len(trialDelays)))
 	switch {
-	case !rec.convicted:
-		r.apply(rec, conviction, now)
+	case !rec.hasVerdict:
+		r.apply(rec, verdictReached, now)
 		rec.trials, rec.verdictAt = trials, at
 		return true
 	case trials > rec.trials:
@@ -121,29 +121,30 @@
 	return false
 }
 
-// expired reports whether an entry is too old to be taken in.
+// expired reports whether an entry is past its retention time.
 func (r *Registry) expired(e *Entry, now time.Time) bool {
 	if e.Verdict != nil {
-		return now.Sub(e.Verdict.At) > verdictLife
+		return now.Sub(e.Verdict.At) > verdictTTL
 	}
-	return now.Sub(e.At) > suspectLife
+	return now.Sub(e.At) > suspicionTTL
 }
 
-// Status is what an operator gets to see of a request.
+// Status describes a request for operators.
 type Status struct {
 	Request Fingerprint
 	State   State
-	// Belief is the chance that it ends engines, from 0 to 1.
+	// Belief is the probability, from 0 to 1, that the request crashes engines.
 	Belief float64
-	// Ends counts the ends that it is blamed for, and Unexplained those that no other request
+	// Ends counts the crashes that it is suspected of, and Unexplained those that no verdict on another request
 	// explains.
 	Ends, Unexplained int
 	Trials            int
-	// Since is when it came into this state, as far as it is known.
+	// Since is when the verdict was reached or the latest trial began; without a verdict, when the request was first
+	// suspected or last cleared.
 	Since time.Time
 }
 
-// List returns all requests of which something is thought, in no order.
+// List returns the status of all requests with a record, in no particular order.
 func (r *Registry) List() []Status {
 	out := make([]Status, 0, len(r.records))
 	for _, rec := range r.records {
@@ -152,7 +153,7 @@
 	return out
 }
 
-// Status returns what is thought of one request.
+// Status returns the status of one request.
 func (r *Registry) Status(f Fingerprint) Status {
 	rec := r.records[f]
 	if rec == nil {
@@ -163,15 +164,15 @@
 
 func (r *Registry) status(rec *record) Status {
 	s := Status{
-		Request: rec.request, State: rec.state, Belief: sigmoid(float64(rec.odds)), Ends: len(rec.blames),
-		Unexplained: int(rec.unexplained), Trials: int(rec.trials), Since: r.base.Add(rec.at),
+		Request: rec.request, State: rec.state, Belief: sigmoid(float64(rec.odds)), Ends: len(rec.suspicions),
+		Unexplained: int(rec.unexplained), Trials: int(rec.trials), Since: r.base.Add(rec.since),
 	}
 	switch {
-	case rec.convicted:
+	case rec.hasVerdict:
 		s.Since = r.base.Add(rec.verdictAt)
-		s.Belief = max(s.Belief, convictAt)
-	case len(rec.blames) == 0:
-		s.Belief = priorDeadly
+		s.Belief = max(s.Belief, quarantineThreshold)
+	case len(rec.suspicions) == 0:
+		s.Belief = priorCrashing
 	}
 	return s
 }
--- a/core/quarantine/fingerprint.go
+++ b/core/quarantine/fingerprint.go
@@ -7,14 +7,14 @@
 	"io"
 )
 
-// Digest names what a request asks for: equal digests are repeats of one request.
+// Digest is a hash of a request's content. Requests with equal digests are repeats of one request.
 type Digest [sha256.Size]byte
 
-// DigestOf hashes a request. Target is what it is addressed to, in a form that no change
-// of the configuration alters: a unit, a service or a host.
+// DigestOf hashes a request. Target is what the request addresses (a unit, a service or a host) in a form that does
+// not change with the configuration.
 func DigestOf(method, target, path string, body []byte) Digest {
 	h := sha256.New()
-	// A hash never fails to write.
+	// hash.Hash never returns an error.
 	_, _ = io.WriteString(h, method+"\x00"+target+"\x00"+path+"\x00")
 	_, _ = h.Write(body)
 	var d Digest
@@ -22,8 +22,8 @@
 	return d
 }
 
-// Fingerprint names a request of one caller wherever and however often it comes. It tells
-// nothing of its content.
+// Fingerprint identifies a request of one caller across attempts and nodes. It reveals nothing of the request's
+// content.
 type Fingerprint [16]byte
 
 // FingerprintOf returns the fingerprint of a caller's request.
@@ -36,25 +36,25 @@
 	return f
 }
 
-// shownBytes is the part of a fingerprint that logs show: two of 10,000 requests have it in
-// common with a chance of 1 in 100.
-const shownBytes = 4
+// shortBytes is the length of the fingerprint's prefix in logs. Among 10,000 requests, the probability that any two
+// share it is 1 in 100.
+const shortBytes = 4
 
-// String returns the beginning of the fingerprint, for logs.
-func (f Fingerprint) String() string { return hex.EncodeToString(f[:shownBytes]) }
+// String returns the first shortBytes bytes in hexadecimal digits, for logs.
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:shortBytes]) }
 
-// MarshalText implements encoding.TextMarshaler, with the whole fingerprint.
+// MarshalText implements encoding.TextMarshaler. It returns the whole fingerprint in hexadecimal digits.
 func (f Fingerprint) MarshalText() ([]byte, error) {
 	return []byte(hex.EncodeToString(f[:])), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts only a whole fingerprint.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(f)) {
-		return fmt.Errorf("a fingerprint has %d hexadecimal digits, not %d: take it whole from the status", hex.EncodedLen(len(f)), len(text))
+		return fmt.Errorf("a fingerprint has %d hexadecimal digits, not %d: copy the whole fingerprint from the status", hex.EncodedLen(len(f)), len(text))
 	}
 	if _, err := hex.Decode(f[:], text); err != nil {
-		return fmt.Errorf("fingerprint %.40q: %w: take it whole from the status", text, err)
+		return fmt.Errorf("fingerprint %.40q: %w: copy the whole fingerprint from the status", text, err)
 	}
 	return nil
 }
--- a/core/quarantine/fingerprint_test.go
+++ b/core/quarantine/fingerprint_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestFingerprint checks what makes two requests the same one.
+// TestFingerprint checks which requests have equal fingerprints.
 func TestFingerprint(t *testing.T) {
 	of := func(caller, method, target, path, body string) Fingerprint {
 		return FingerprintOf(caller, DigestOf(method, target, path, []byte(body)))
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestFingerprintText checks the whole form of a fingerprint, and what is refused.
+// TestFingerprintText checks the text form of a fingerprint, and which texts are refused.
 func TestFingerprintText(t *testing.T) {
 	f := FingerprintOf("c", DigestOf("GET", "h", "/", nil))
 	text, err := f.MarshalText()
@@ -41,11 +41,11 @@
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(string(text), f.String()) {
-		t.Errorf("logs show %s of %s", f, text)
+		t.Errorf("String returns %s, which is no prefix of %s", f, text)
 	}
 	var back Fingerprint
 	if err := back.UnmarshalText(text); err != nil || back != f {
-		t.Errorf("read back as %s: %v", back, err)
+		t.Errorf("decoded as %s: %v", back, err)
 	}
 	var refused []string
 	for _, bad := range []string{"", f.String(), strings.Repeat("z", len(text)), string(text) + "00"} {
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -5,96 +5,96 @@
 	"time"
 )
 
-// record is what is known of one request.
+// record holds what is known of one request.
 type record struct {
 	request Fingerprint
 	epoch   uint32
 	state   State
-	// convicted is true while there is a verdict; trials counts the runs tried since.
-	convicted bool
-	trials    uint8
-	// own is set once this node has blamed the request, or cleared it; told once the record
-	// concerns other nodes than those that blame it.
-	own, told bool
-	// unexplained counts the blames that no other request explains.
+	// hasVerdict is true while there is a verdict; trials counts the trial runs since.
+	hasVerdict bool
+	trials     uint8
+	// local is set once this node has suspected or cleared the request; shared is set once the record matters to
+	// nodes that do not suspect the request themselves.
+	local, shared bool
+	// unexplained counts the suspicions whose crash no verdict on another request explains.
 	unexplained uint8
-	// odds are the logarithm of the odds that the request ends engines.
+	// odds is the logarithm of the odds that the request crashes engines.
 	odds float32
-	// blames are in the order of their ends, one for each.
-	blames []blame
-	// at is when the epoch began, verdictAt when the verdict or the latest trial; seenAt
-	// when the request last came. They count from the registry's base.
-	at, verdictAt, seenAt time.Duration
-	// version is that of the registry at the latest change.
+	// suspicions are sorted by their crashes, one for each.
+	suspicions []suspicion
+	// since is when the epoch began, verdictAt when the verdict was reached or the latest trial began, and seenAt
+	// when the request was last seen, all relative to the registry's base.
+	since, verdictAt, seenAt time.Duration
+	// version is the registry's version at the record's latest change.
 	version uint64
 }
 
-// blame is one Blame of a record.
-type blame struct {
-	end *end
-	// at is when it was noticed, from the registry's base.
-	at, ran time.Duration
-	begun   bool
+// suspicion is the internal form of a Blame.
+type suspicion struct {
+	crash *crash
+	// at is when the crash was noticed, relative to the registry's base; elapsed is how long the engine had the
+	// request.
+	at, elapsed time.Duration
+	begun       bool
 }
 
-// end is one end of an engine with the requests that are blamed for it.
-type end struct {
+// crash is one crash of an engine.
+type crash struct {
 	id EndID
-	// at is when it was noticed, toldAt when the latest blame for it came here, from the
-	// registry's base.
-	at, toldAt time.Duration
-	// suspects are blamed in their present epoch.
+	// at is when the crash was noticed, and updatedAt when its latest suspicion arrived, relative to the registry's
+	// base.
+	at, updatedAt time.Duration
+	// suspects are the records with a suspicion for this crash in their current epoch.
 	suspects []*record
 }
 
-// Registry holds what is known of all requests. It is not safe for concurrent use.
+// Registry holds the records of all suspected requests of a node. It is not safe for concurrent use.
 type Registry struct {
 	base    time.Time
 	records map[Fingerprint]*record
-	ends    map[EndID]*end
-	// pending are the records whose ends are not settled.
+	crashes map[EndID]*crash
+	// pending holds the records that wait for their crashes to settle.
 	pending map[*record]bool
-	// moved collects the requests of which something else is thought.
-	moved []Fingerprint
-	// verdicts counts the records with one.
+	// transitioned collects the requests whose state changed.
+	transitioned []Fingerprint
+	// verdicts counts the records with a verdict.
 	verdicts int
-	// engines is how many engines there are.
+	// engines is the number of engines in the deployment.
 	engines int
-	// whole is true where the blames of all nodes come together.
-	whole bool
-	// version rises with each change, and toldVersion is that of the latest change of a record that
-	// concerns others.
-	version, toldVersion uint64
+	// complete is true if the blames of all nodes arrive here.
+	complete bool
+	// version increases with each change; sharedVersion is the version of the latest change of a shared record.
+	version, sharedVersion uint64
 }
 
-// NewRegistry returns a registry that knows nothing, to which no other node's blames come.
+// NewRegistry returns an empty registry that is complete: it stands alone until SetWhole says otherwise.
 func NewRegistry(now time.Time) *Registry {
-	return &Registry{base: now, records: make(map[Fingerprint]*record), ends: make(map[EndID]*end), pending: make(map[*record]bool), whole: true}
+	return &Registry{base: now, records: make(map[Fingerprint]*record), crashes: make(map[EndID]*crash), pending: make(map[*record]bool), complete: true}
 }
 
-// SetEngines sets how many engines there are, by which the rate of their ends is judged.
+// SetEngines sets the number of engines, which the rate of spontaneous crashes is computed from.
 func (r *Registry) SetEngines(n int) { r.engines = n }
 
-// SetWhole sets whether the blames of all nodes come together here. Elsewhere most suspects of
-// an end are not known, so that belief convicts nobody; the number of ends does.
+// SetWhole sets whether the blames of all nodes arrive here. Elsewhere most suspects of a crash are unknown, so the
+// probability leads to no verdict there; only the number of crashes does.
 func (r *Registry) SetWhole(whole bool) {
-	if whole && !r.whole {
+	if whole && !r.complete {
 		for _, rec := range r.records {
-			if len(rec.blames) > 0 {
+			if len(rec.suspicions) > 0 {
 				r.pending[rec] = true
 			}
 		}
 	}
-	r.whole = whole
+	r.complete = whole
 }
 
-// Version rises with each change.
+// Version increases with each change.
 func (r *Registry) Version() uint64 { return r.version }
 
-// ToldVersion is the version at the latest change that concerns other nodes.
-func (r *Registry) ToldVersion() uint64 { return r.toldVersion }
+// ToldVersion returns the version of the latest change that matters to other nodes.
+func (r *Registry) ToldVersion() uint64 { return r.sharedVersion }
 
-// State returns what is thought of a request.
+// State returns the state of a request; Clear if there is no record.
 func (r *Registry) State(f Fingerprint) State {
 	rec := r.records[f]
 	if rec == nil {
@@ -103,70 +103,71 @@
 	return rec.state
 }
 
-// Held returns whether a request that came is kept from engines, and when its caller may ask
-// again.
+// Held notes that a request arrived. It returns whether the request is blocked, and the delay after which its caller
+// may retry.
 func (r *Registry) Held(f Fingerprint, now time.Time) (again time.Duration, held bool) {
 	rec := r.records[f]
 	if rec == nil {
 		return 0, false
 	}
 	rec.seenAt = now.Sub(r.base)
-	if !rec.state.held() {
+	if !rec.state.blocked() {
 		return 0, false
 	}
 	due, ok := rec.trialDue()
 	if !ok {
-		return longestHint, true
+		return maxRetryAfter, true
 	}
 	return max(time.Second, due-now.Sub(r.base)), true
 }
 
-// Doubtful reports whether a request is one of few under which several engines ended: it is not to be
-// sent before the others' word on it is known.
+// Doubtful reports whether a request is isolated and suspected of several crashes. It must not be sent while the
+// records of other nodes are out of date.
 func (r *Registry) Doubtful(f Fingerprint) bool {
 	rec := r.records[f]
-	return rec != nil && rec.state == Isolated && len(rec.blames) > 1
+	return rec != nil && rec.state == Isolated && len(rec.suspicions) > 1
 }
 
-// Unsettled returns for how long the next run of a request should wait: it is one of few that
-// may have ended engines, and what the latest end comes to is not known yet.
+// Unsettled returns how long the next run of a doubtful request should wait until its latest crash has been
+// evaluated.
 func (r *Registry) Unsettled(f Fingerprint, now time.Time) time.Duration {
 	if !r.Doubtful(f) {
 		return 0
 	}
 	at := r.records[f].settledAt()
-	if !r.whole {
+	if !r.complete {
 		at += Tell
 	}
 	return max(0, at-now.Sub(r.base))
 }
 
-// settledAt is when all blames for the record's ends are known.
+// settledAt returns when all suspects of the record's crashes are assumed to be known.
 func (rec *record) settledAt() time.Duration {
 	var at time.Duration
-	for i := range rec.blames {
-		at = max(at, rec.blames[i].end.toldAt+Settle)
+	for i := range rec.suspicions {
+		at = max(at, rec.suspicions[i].crash.updatedAt+Settle)
 	}
 	return at
 }
 
-// Ended notes that an engine has ended, whatever it ran.
-func (r *Registry) Ended(id EndID, now time.Time) { r.end(id, now.Sub(r.base)) }
+// Ended records a crash, also if the engine ran no requests.
+func (r *Registry) Ended(id EndID, now time.Time) { r.crash(id, now.Sub(r.base)) }
 
-// end returns the end of an id; of two moments at which it was noticed the earlier one counts.
-func (r *Registry) end(id EndID, at time.Duration) *end {
-	e := r.ends[id]
+// crash returns the crash with an id, creating it if needed. Of several times at which it was noticed the earliest
+// counts.
+func (r *Registry) crash(id EndID, at time.Duration) *crash {
+	e := r.crashes[id]
 	if e == nil {
-		e = &end{id: id, at: at}
-		r.ends[id] = e
-		r.boundEnds()
+		e = &crash{id: id, at: at}
+		r.crashes[id] = e
+		r.evictCrash()
 	}
 	e.at = min(e.at, at)
 	return e
 }
 
-// Blame notes that an engine ended under requests of this node, one blame for each, and returns those of
-// which something else is thought now.
+// Blame records that an engine crashed under requests of this node, with one blame for each, and returns the requests
+// whose state changed.
 func (r *Registry) Blame(requests []Fingerprint, blames []Blame, now time.Time) []Fingerprint {
 	var touched []*record
 	for i, f := range requests {
@@ -174,32 +175,32 @@
 		if rec == nil {
 			continue
 		}
-		rec.seenAt, rec.own = now.Sub(r.base), true
-		if r.addBlame(rec, blames[i], now) {
-			r.changed(rec)
+		rec.seenAt, rec.local = now.Sub(r.base), true
+		if r.addSuspicion(rec, blames[i], now) {
+			r.bumpVersion(rec)
 			touched = append(touched, rec)
 		}
 	}
-	r.judge(touched, now)
-	return r.takeMoved()
+	r.reevaluate(touched, now)
+	return r.takeTransitioned()
 }
 
-// record returns the record of a request, a new one if there is room.
+// record returns the record of a request, creating it if needed; nil if the registry is full of verdicts.
 func (r *Registry) record(f Fingerprint, at time.Time) *record {
 	if rec := r.records[f]; rec != nil {
 		return rec
 	}
-	if len(r.records) >= mostRecords && !r.makeRoom() {
+	if len(r.records) >= maxRecords && !r.evictSuspects() {
 		return nil
 	}
-	rec := &record{request: f, at: at.Sub(r.base)}
+	rec := &record{request: f, since: at.Sub(r.base)}
 	r.records[f] = rec
 	return rec
 }
 
-func (r *Registry) setConvicted(rec *record, convicted bool) {
+func (r *Registry) setVerdict(rec *record, convicted bool) {
 	switch {
-	case rec.convicted == convicted:
+	case rec.hasVerdict == convicted:
 		return
 	case convicted:
 		r.verdicts++
@@ -207,78 +208,80 @@
 		r.verdicts--
 		rec.trials = 0
 	}
-	rec.convicted = convicted
+	rec.hasVerdict = convicted
 }
 
-func (r *Registry) changed(rec *record) {
+func (r *Registry) bumpVersion(rec *record) {
 	r.version++
 	rec.version = r.version
-	if rec.told {
-		r.toldVersion = r.version
+	if rec.shared {
+		r.sharedVersion = r.version
 	}
 }
 
-// clearBlames makes a record's blames void.
-func (r *Registry) clearBlames(rec *record) {
-	for _, b := range rec.blames {
-		b.end.suspects = slices.DeleteFunc(b.end.suspects, func(s *record) bool { return s == rec })
+// clearSuspicions removes a record's suspicions.
+func (r *Registry) clearSuspicions(rec *record) {
+	for _, b := range rec.suspicions {
+		b.crash.suspects = slices.DeleteFunc(b.crash.suspects, func(s *record) bool { return s == rec })
 	}
-	rec.blames, rec.odds, rec.unexplained = nil, 0, 0
+	rec.suspicions, rec.odds, rec.unexplained = nil, 0, 0
 }
 
-// addBlame unites a blame with those of a record, and reports whether it was news. Where
-// several nodes saw one end, the one at which the request had run for the shortest time counts:
-// it says most.
-func (r *Registry) addBlame(rec *record, b Blame, now time.Time) bool {
+// addSuspicion adds a blame to a record, and reports whether it changed anything. If several nodes reported the same
+// crash, the shortest time that the request had run counts, since it is the strongest evidence.
+func (r *Registry) addSuspicion(rec *record, b Blame, now time.Time) bool {
 	at := b.At.Sub(r.base)
-	e := r.end(b.End, at)
-	i, found := slices.BinarySearchFunc(rec.blames, b.End, func(x blame, id EndID) int { return x.end.id.compare(id) })
+	e := r.crash(b.End, at)
+	i, found := slices.BinarySearchFunc(rec.suspicions, b.End, func(x suspicion, id EndID) int { return x.crash.id.compare(id) })
 	if found {
-		old := &rec.blames[i]
-		news := b.Ran < old.ran || b.Begun && !old.begun
-		old.at, old.ran, old.begun = min(old.at, at), min(old.ran, b.Ran), old.begun || b.Begun
-		return news
+		old := &rec.suspicions[i]
+		changed := b.Ran < old.elapsed || b.Begun && !old.begun
+		old.at, old.elapsed, old.begun = min(old.at, at), min(old.elapsed, b.Ran), old.begun || b.Begun
+		return changed
 	}
-	if i >= mostBlames || len(e.suspects) >= mostSuspects {
+	if i >= maxSuspicions || len(e.suspects) >= maxSuspects {
 		return false
 	}
-	rec.blames = slices.Insert(rec.blames, i, blame{end: e, at: at, ran: b.Ran, begun: b.Begun})
+	rec.suspicions = slices.Insert(rec.suspicions, i, suspicion{crash: e, at: at, elapsed: b.Ran, begun: b.Begun})
 	e.suspects = append(e.suspects, rec)
-	e.toldAt = now.Sub(r.base)
-	if len(rec.blames) > mostBlames {
-		// Of too many the first in their order stay, whatever the order in which they came.
-		last := rec.blames[mostBlames].end
+	e.updatedAt = now.Sub(r.base)
+	if len(rec.suspicions) > maxSuspicions {
+		// Keep the first maxSuspicions in sort order, whatever the order in which they arrived, so that merging stays
+		// commutative.
+		last := rec.suspicions[maxSuspicions].crash
 		last.suspects = slices.DeleteFunc(last.suspects, func(s *record) bool { return s == rec })
-		rec.blames = rec.blames[:mostBlames]
+		rec.suspicions = rec.suspicions[:maxSuspicions]
 	}
 	return true
 }
 
-// Answered notes that an engine answered a request well: what it was blamed for is void. It
-// reports whether anything was.
+// Answered records that an engine answered a request successfully, which clears it. It reports whether there was
+// anything to clear.
 func (r *Registry) Answered(f Fingerprint, now time.Time) bool {
-	return r.void(f, goodAnswer, now)
+	return r.reset(f, goodAnswer, now)
 }
 
-// Release lets a request go by an operator's word. It reports whether there was anything to let go.
-func (r *Registry) Release(f Fingerprint, now time.Time) bool { return r.void(f, release, now) }
+// Release clears a request at an operator's command. It reports whether there was anything to clear.
+func (r *Registry) Release(f Fingerprint, now time.Time) bool {
+	return r.reset(f, operatorRelease, now)
+}
 
-// void begins a new epoch of a request.
-func (r *Registry) void(f Fingerprint, ev event, now time.Time) bool {
+// reset starts a new epoch of a request after an event that clears it.
+func (r *Registry) reset(f Fingerprint, ev event, now time.Time) bool {
 	rec := r.records[f]
-	if rec == nil || len(rec.blames) == 0 && !rec.convicted {
+	if rec == nil || len(rec.suspicions) == 0 && !rec.hasVerdict {
 		return false
 	}
 	r.newEpoch(rec, rec.epoch+1, now.Sub(r.base))
-	rec.own = true
+	rec.local = true
 	r.apply(rec, ev, now)
-	r.changed(rec)
-	r.takeMoved()
+	r.bumpVersion(rec)
+	r.takeTransitioned()
 	return true
 }
 
 func (r *Registry) newEpoch(rec *record, epoch uint32, at time.Duration) {
-	r.clearBlames(rec)
-	r.setConvicted(rec, false)
-	rec.epoch, rec.at = epoch, at
+	r.clearSuspicions(rec)
+	r.setVerdict(rec, false)
+	rec.epoch, rec.since = epoch, at
 }
--- a/core/quarantine/state.go
+++ b/core/quarantine/state.go
@@ -1,26 +1,26 @@
 package quarantine
 
-// State is what is thought of a request.
+// State is the quarantine state of a request.
 type State uint8
 
-// The states.
+// Possible states.
 const (
-	// Clear: nothing speaks against it.
+	// Clear: there is no unexplained suspicion.
 	Clear State = iota
-	// Suspected: an engine ended under it, as it did under others. It is sent to another
-	// engine than they are.
+	// Suspected: an engine crashed while it ran this request and many others. It is sent to another engine than the
+	// other suspects.
 	Suspected
-	// Isolated: it is one of few that may have ended engines. It runs where least else does.
+	// Isolated: it is one of few suspects. It is sent to the least loaded engine.
 	Isolated
 	// Quarantined: it is sent to no engine.
 	Quarantined
-	// OnTrial: one run of it is being tried.
+	// OnTrial: it is quarantined, but one run is allowed as a trial.
 	OnTrial
-	// Released: it was quarantined, and is not any more.
+	// Released: it was quarantined and is cleared.
 	Released
 )
 
-// States counts the states.
+// States is the number of states.
 const States = int(Released) + 1
 
 var stateNames = [States]string{"clear", "suspected", "isolated", "quarantined", "onTrial", "released"}
@@ -28,63 +28,63 @@
 // String returns the state's name, for logs and the status.
 func (s State) String() string { return stateNames[s] }
 
-// event is something that changes what is thought of a request.
+// event is an input of the state machine.
 type event uint8
 
-// The events. The first four are what weighing its blames has come to.
+// Possible events. The first four are results of assess.
 const (
-	// explained: no end speaks against it that another request or reason does not explain.
+	// explained: every suspicion is explained by a verdict on another request or by another cause.
 	explained event = iota
-	// doubt: an end speaks against it, as against others.
-	doubt
-	// strongDoubt: it is one of few.
-	strongDoubt
-	// conviction: it is the one.
-	conviction
-	// goodAnswer: an engine answered it well.
+	// weakSuspicion: there is an unexplained crash with many suspects.
+	weakSuspicion
+	// strongSuspicion: it is one of few suspects.
+	strongSuspicion
+	// verdictReached: it crashes engines, almost certainly.
+	verdictReached
+	// goodAnswer: an engine answered it successfully.
 	goodAnswer
-	// trialBegun: one run is being tried.
+	// trialBegun: a trial run begins.
 	trialBegun
-	// trialOver: the trial came to nothing, good or bad.
+	// trialOver: the trial ended without an answer or a crash.
 	trialOver
-	// release: an operator lets it go.
-	release
-	// forgotten: it was not heard of for long.
-	forgotten
+	// operatorRelease: an operator released it.
+	operatorRelease
+	// recordExpired: it was not seen for its retention time.
+	recordExpired
 )
 
-// events counts the events.
-const events = int(forgotten) + 1
+// events is the number of events.
+const events = int(recordExpired) + 1
 
-// transitions holds the next state by state and event.
+// transitions is the transition table of the state machine.
 var transitions = [States][events]State{
 	Clear: {
-		explained: Clear, doubt: Suspected, strongDoubt: Isolated, conviction: Quarantined,
-		goodAnswer: Clear, trialBegun: Clear, trialOver: Clear, release: Clear, forgotten: Clear,
+		explained: Clear, weakSuspicion: Suspected, strongSuspicion: Isolated, verdictReached: Quarantined,
+		goodAnswer: Clear, trialBegun: Clear, trialOver: Clear, operatorRelease: Clear, recordExpired: Clear,
 	},
 	Suspected: {
-		explained: Clear, doubt: Suspected, strongDoubt: Isolated, conviction: Quarantined,
-		goodAnswer: Clear, trialBegun: Suspected, trialOver: Suspected, release: Clear, forgotten: Clear,
+		explained: Clear, weakSuspicion: Suspected, strongSuspicion: Isolated, verdictReached: Quarantined,
+		goodAnswer: Clear, trialBegun: Suspected, trialOver: Suspected, operatorRelease: Clear, recordExpired: Clear,
 	},
 	Isolated: {
-		explained: Clear, doubt: Suspected, strongDoubt: Isolated, conviction: Quarantined,
-		goodAnswer: Clear, trialBegun: Isolated, trialOver: Isolated, release: Clear, forgotten: Clear,
+		explained: Clear, weakSuspicion: Suspected, strongSuspicion: Isolated, verdictReached: Quarantined,
+		goodAnswer: Clear, trialBegun: Isolated, trialOver: Isolated, operatorRelease: Clear, recordExpired: Clear,
 	},
-	// A verdict does not end because other requests are convicted: two that only ever ran
-	// together would let each other go.
+	// A verdict is not withdrawn when other requests get one: two requests that only ever ran together would release
+	// each other.
 	Quarantined: {
-		explained: Quarantined, doubt: Quarantined, strongDoubt: Quarantined, conviction: Quarantined,
-		goodAnswer: Released, trialBegun: OnTrial, trialOver: Quarantined, release: Released, forgotten: Clear,
+		explained: Quarantined, weakSuspicion: Quarantined, strongSuspicion: Quarantined, verdictReached: Quarantined,
+		goodAnswer: Released, trialBegun: OnTrial, trialOver: Quarantined, operatorRelease: Released, recordExpired: Clear,
 	},
 	OnTrial: {
-		explained: OnTrial, doubt: Quarantined, strongDoubt: Quarantined, conviction: Quarantined,
-		goodAnswer: Released, trialBegun: OnTrial, trialOver: Quarantined, release: Released, forgotten: Clear,
+		explained: OnTrial, weakSuspicion: Quarantined, strongSuspicion: Quarantined, verdictReached: Quarantined,
+		goodAnswer: Released, trialBegun: OnTrial, trialOver: Quarantined, operatorRelease: Released, recordExpired: Clear,
 	},
 	Released: {
-		explained: Released, doubt: Suspected, strongDoubt: Isolated, conviction: Quarantined,
-		goodAnswer: Released, trialBegun: Released, trialOver: Released, release: Released, forgotten: Clear,
+		explained: Released, weakSuspicion: Suspected, strongSuspicion: Isolated, verdictReached: Quarantined,
+		goodAnswer: Released, trialBegun: Released, trialOver: Released, operatorRelease: Released, recordExpired: Clear,
 	},
 }
 
-// held reports whether a request in this state is kept from engines.
-func (s State) held() bool { return s == Quarantined || s == OnTrial }
+// blocked reports whether a request in this state is refused, apart from the trial run.
+func (s State) blocked() bool { return s == Quarantined || s == OnTrial }
--- a/core/quarantine/state_test.go
+++ b/core/quarantine/state_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestTransitions walks through every state and event.
+// TestTransitions checks the next state for every state and event.
 func TestTransitions(t *testing.T) {
 	type rule struct {
 		name  string
@@ -15,14 +15,14 @@
 	}
 	to := func(s State) func(State, event) State { return func(State, event) State { return s } }
 	same := func(s State, _ event) State { return s }
-	weighed := map[event]State{doubt: Suspected, strongDoubt: Isolated, conviction: Quarantined}
-	// The first rule that holds says what is to follow.
+	weighed := map[event]State{weakSuspicion: Suspected, strongSuspicion: Isolated, verdictReached: Quarantined}
+	// The first rule that applies determines the expected state.
 	rules := []rule{
-		{"what is forgotten is clear", func(_ State, ev event) bool { return ev == forgotten }, to(Clear)},
+		{"what is forgotten is clear", func(_ State, ev event) bool { return ev == recordExpired }, to(Clear)},
 		{"a good answer, or an operator, lets go", func(s State, ev event) bool {
-			return (ev == goodAnswer || ev == release) && (s.held() || s == Released)
+			return (ev == goodAnswer || ev == operatorRelease) && (s.blocked() || s == Released)
 		}, to(Released)},
-		{"a good answer, or an operator, clears", func(_ State, ev event) bool { return ev == goodAnswer || ev == release }, to(Clear)},
+		{"a good answer, or an operator, clears", func(_ State, ev event) bool { return ev == goodAnswer || ev == operatorRelease }, to(Clear)},
 		{"only what is quarantined is tried", func(s State, ev event) bool { return ev == trialBegun && s != Quarantined }, same},
 		{"a trial begins", func(_ State, ev event) bool { return ev == trialBegun }, to(OnTrial)},
 		{"a trial that came to nothing", func(s State, ev event) bool { return ev == trialOver && s == OnTrial }, to(Quarantined)},
--- a/core/quarantine/tracker.go
+++ b/core/quarantine/tracker.go
@@ -2,239 +2,242 @@
 
 import "time"
 
-// Times of the tracker.
+// Durations that the tracker uses.
 const (
-	// brokenLife is how long after a connection broke its engine's end may be confirmed, and
-	// how long after that connections break: both take milliseconds.
-	brokenLife = time.Second
-	// leftBefore is how long before its engine's end an attempt may have been given up: engines work on
-	// for some hundred milliseconds after their caller has gone.
-	leftBefore = 500 * time.Millisecond
-	// leftLife is how long after a silent attempt was given up a new start of its engine is put
-	// down to the requests of before.
-	leftLife = 10 * time.Second
-	// goodKept is how many requests that were answered well are remembered, and goodLife for how
-	// long: one that has just been answered well does not end engines.
-	goodKept = 2048
-	goodLife = 5 * time.Minute
-	// lifeKept is how long an engine that runs nothing is remembered.
-	lifeKept = time.Minute
+	// breakWindow is how long after a broken connection the crash of its engine may be confirmed, and how long after
+	// the crash other connections may break. Both take milliseconds.
+	breakWindow = time.Second
+	// abandonWindow is how long before a crash an attempt may have been abandoned and still be a suspect: engines
+	// continue for some hundred milliseconds after the caller has disconnected.
+	abandonWindow = 500 * time.Millisecond
+	// restartWindow is how long after an attempt without response was abandoned it is still a suspect when the engine
+	// turns out to have restarted.
+	restartWindow = 10 * time.Second
+	// maxGood bounds the set of requests that were answered successfully, and goodTTL is how long they are kept: a
+	// request that was recently answered is not a suspect.
+	maxGood = 2048
+	goodTTL = 5 * time.Minute
+	// idleTTL is how long an incarnation of an engine without runs is kept.
+	idleTTL = time.Minute
 )
 
-// Life is one life of an engine.
+// Life identifies one incarnation of an engine.
 type Life struct {
 	Engine string
-	// Start is in Unix milliseconds; 0 where it is not told.
+	// Start is the start time in Unix milliseconds; 0 if the engine does not publish it.
 	Start int64
 }
 
-// Run is one request at an engine, from its sending on.
+// Run is one attempt of a request at an engine, from the moment of sending.
 type Run struct {
-	request Fingerprint
-	life    Life
-	sentAt  time.Time
-	// begunAt is when the engine began to answer; zero if it did not.
+	request     Fingerprint
+	incarnation Life
+	sentAt      time.Time
+	// begunAt is when the engine began to answer; zero before.
 	begunAt time.Time
-	// overAt is when the connection broke, or the attempt was given up; zero before.
-	overAt time.Time
-	// broke is true where the connection broke.
+	// stoppedAt is when the connection broke or the attempt was abandoned; zero before.
+	stoppedAt time.Time
+	// broke is true if the connection broke.
 	broke bool
 }
 
-// engineRuns is what runs, or ran lately, in one life of an engine.
+// engineRuns holds the current and recent runs of one incarnation of an engine.
 type engineRuns struct {
 	runs map[*Run]bool
-	// ends counts the ends known, where starts are not told; answered is set once the
-	// engine has answered since the latest.
-	ends     int
+	// crashes counts further crashes of an engine that does not publish its start time; answered is set once the
+	// engine has answered since the latest crash.
+	crashes  int
 	answered bool
-	// endedAt is when the latest end was noticed; zero if there is none.
-	endedAt time.Time
-	// leaving is set once the engine's end is planned.
-	leaving bool
-	usedAt  time.Time
+	// crashedAt is when the latest crash was noticed; zero if there was none.
+	crashedAt time.Time
+	// draining is set while the engine's shutdown is planned or its entry is gone.
+	draining bool
+	usedAt   time.Time
 }
 
-// Tracker knows which requests of a node run at which engines. It is not safe for concurrent
-// use.
+// Tracker tracks which requests of a node run on which engines, to find the suspects of a crash. It is not safe for
+// concurrent use.
 type Tracker struct {
-	lives map[Life]*engineRuns
-	// good holds the requests that were answered well lately, and older those of the span
+	incarnations map[Life]*engineRuns
+	// good holds the requests that were answered successfully since goodSince, and previousGood those of the period
 	// before.
-	good, older map[Fingerprint]bool
-	// goodSince is when good was begun.
+	good, previousGood map[Fingerprint]bool
+	// goodSince is when the set good was started.
 	goodSince time.Time
 }
 
-// NewTracker returns a tracker of a node that runs nothing.
+// NewTracker returns a tracker with no runs.
 func NewTracker() *Tracker {
-	return &Tracker{lives: make(map[Life]*engineRuns), good: make(map[Fingerprint]bool)}
+	return &Tracker{incarnations: make(map[Life]*engineRuns), good: make(map[Fingerprint]bool)}
 }
 
-// noteGood remembers a request that was answered well.
-func (t *Tracker) noteGood(f Fingerprint, now time.Time) {
-	if len(t.good) >= goodKept || now.Sub(t.goodSince) > goodLife {
-		t.older, t.good, t.goodSince = t.good, make(map[Fingerprint]bool), now
+// recordGood adds a request that was answered successfully.
+func (t *Tracker) recordGood(f Fingerprint, now time.Time) {
+	if len(t.good) >= maxGood || now.Sub(t.goodSince) > goodTTL {
+		t.previousGood, t.good, t.goodSince = t.good, make(map[Fingerprint]bool), now
 	}
 	t.good[f] = true
 }
 
-// wasGood reports whether a request was answered well lately.
+// wasGood reports whether a request was recently answered successfully.
 func (t *Tracker) wasGood(f Fingerprint, now time.Time) bool {
-	return (t.good[f] || t.older[f]) && now.Sub(t.goodSince) <= goodLife
+	return (t.good[f] || t.previousGood[f]) && now.Sub(t.goodSince) <= goodTTL
 }
 
-func (t *Tracker) life(l Life, now time.Time) *engineRuns {
-	er := t.lives[l]
+func (t *Tracker) runsOf(l Life, now time.Time) *engineRuns {
+	er := t.incarnations[l]
 	if er == nil {
 		er = &engineRuns{runs: make(map[*Run]bool)}
-		t.lives[l] = er
+		t.incarnations[l] = er
 	}
 	er.usedAt = now
 	return er
 }
 
-// Send notes that a request is being sent to an engine.
+// Send records that a request is being sent to an engine.
 func (t *Tracker) Send(f Fingerprint, l Life, now time.Time) *Run {
-	run := &Run{request: f, life: l, sentAt: now}
-	t.life(l, now).runs[run] = true
+	run := &Run{request: f, incarnation: l, sentAt: now}
+	t.runsOf(l, now).runs[run] = true
 	return run
 }
 
-// Begin notes that the engine has begun to answer.
+// Begin records that the engine has begun to answer.
 func (t *Tracker) Begin(run *Run, now time.Time) {
 	if !run.begunAt.IsZero() {
 		return
 	}
 	run.begunAt = now
-	if er := t.life(run.life, now); run.sentAt.After(er.endedAt) {
+	if er := t.runsOf(run.incarnation, now); run.sentAt.After(er.crashedAt) {
 		er.answered = true
 	}
 }
 
-// Answer notes that the engine answered, well or not, or refused to begin.
+// Answer records that the engine answered, successfully or not, or refused to begin.
 func (t *Tracker) Answer(run *Run, good bool, now time.Time) {
 	if good {
-		t.noteGood(run.request, now)
+		t.recordGood(run.request, now)
 	}
-	er := t.life(run.life, now)
+	er := t.runsOf(run.incarnation, now)
 	er.answered = true
 	delete(er.runs, run)
 }
 
-// Drop notes that nothing of the request reached the engine.
+// Drop records that nothing of the request reached the engine.
 func (t *Tracker) Drop(run *Run) {
-	if er := t.lives[run.life]; er != nil {
+	if er := t.incarnations[run.incarnation]; er != nil {
 		delete(er.runs, run)
 	}
 }
 
-// Leave notes that the attempt was given up without an answer.
-func (t *Tracker) Leave(run *Run, now time.Time) { run.overAt = now }
+// Leave records that the attempt was abandoned without an answer.
+func (t *Tracker) Leave(run *Run, now time.Time) { run.stoppedAt = now }
 
-// Break notes that the connection broke before a whole answer had come. It returns what that
-// is blamed on where the engine is known to have ended just now.
+// Break records that the connection broke before the answer was complete. If the engine is known to have just
+// crashed, it returns the blame for that crash and true.
 func (t *Tracker) Break(run *Run, now time.Time) (blame Blame, ended bool) {
-	er := t.life(run.life, now)
-	run.overAt, run.broke = now, true
-	if er.leaving || t.wasGood(run.request, now) || er.endedAt.IsZero() || now.Sub(er.endedAt) > brokenLife || run.sentAt.After(er.endedAt) {
+	er := t.runsOf(run.incarnation, now)
+	run.stoppedAt, run.broke = now, true
+	if er.draining || t.wasGood(run.request, now) || er.crashedAt.IsZero() || now.Sub(er.crashedAt) > breakWindow || run.sentAt.After(er.crashedAt) {
 		return Blame{}, false
 	}
 	delete(er.runs, run)
-	return run.blame(er.endID(run.life), er.endedAt), true
+	return run.suspicion(er.crashID(run.incarnation), er.crashedAt), true
 }
 
-// blame is what the end of the engine is blamed on the run with.
-func (run *Run) blame(id EndID, at time.Time) Blame {
+// suspicion returns the blame of the run for a crash.
+func (run *Run) suspicion(id EndID, at time.Time) Blame {
 	from := run.sentAt
 	if !run.begunAt.IsZero() {
 		from = run.begunAt
 	}
-	// Whether what was given up was still there is not known: it weighs as what had not begun.
+	// Whether an abandoned request was still on the engine is unknown, so it has the weight of one that had not
+	// begun.
 	return Blame{End: id, Ran: max(0, at.Sub(from)), Begun: run.broke && !run.begunAt.IsZero(), At: at}
 }
 
-func (er *engineRuns) endID(l Life) EndID { return EndID{Engine: l.Engine, Start: l.Start, N: er.ends} }
+func (er *engineRuns) crashID(l Life) EndID {
+	return EndID{Engine: l.Engine, Start: l.Start, N: er.crashes}
+}
 
-// End notes that an engine has ended without notice, and returns the end and those whose
-// connections broke with it. What was sent to a life that is known to have ended is not blamed
-// again.
+// End records that an engine crashed, and returns the crash with its suspects and their blames. The suspects are the
+// requests whose connections broke or which were abandoned just before. The result is empty if the shutdown was
+// planned.
 func (t *Tracker) End(l Life, now time.Time) (id EndID, requests []Fingerprint, blames []Blame) {
-	er := t.life(l, now)
-	if er.leaving {
+	er := t.runsOf(l, now)
+	if er.draining {
 		return EndID{}, nil, nil
 	}
-	if !er.endedAt.IsZero() && er.answered {
-		er.ends++
+	if !er.crashedAt.IsZero() && er.answered {
+		er.crashes++
 	}
-	er.answered, er.endedAt = false, now
-	id = er.endID(l)
+	er.answered, er.crashedAt = false, now
+	id = er.crashID(l)
 	for run := range er.runs {
-		if !run.endsWith(now) || t.wasGood(run.request, now) {
+		if !run.coincidesWith(now) || t.wasGood(run.request, now) {
 			continue
 		}
 		requests = append(requests, run.request)
-		blames = append(blames, run.blame(id, now))
+		blames = append(blames, run.suspicion(id, now))
 		delete(er.runs, run)
 	}
 	return id, requests, blames
 }
 
-// endsWith reports whether a run is put down to the end of its engine at a moment: its
-// connection broke just before, or its caller has just left.
-func (run *Run) endsWith(now time.Time) bool {
-	if run.overAt.IsZero() {
+// coincidesWith reports whether a run is a suspect of a crash that happens now: its connection broke or the attempt
+// was abandoned just before.
+func (run *Run) coincidesWith(now time.Time) bool {
+	if run.stoppedAt.IsZero() {
 		return false
 	}
-	life := leftBefore
+	window := abandonWindow
 	if run.broke {
-		life = brokenLife
+		window = breakWindow
 	}
-	return now.Sub(run.overAt) <= life
+	return now.Sub(run.stoppedAt) <= window
 }
 
-// Restart notes that an engine has started again: the life before has ended. Also the
-// attempts that were given up as silent were there, and those that wait for an answer.
+// Restart records that an engine has started again, so that its former incarnation has crashed. Attempts that still
+// wait for an answer, and those abandoned within restartWindow, are suspects too.
 func (t *Tracker) Restart(former Life, now time.Time) (id EndID, requests []Fingerprint, blames []Blame) {
-	if er := t.lives[former]; er != nil && !er.leaving && er.endedAt.IsZero() {
+	if er := t.incarnations[former]; er != nil && !er.draining && er.crashedAt.IsZero() {
 		for run := range er.runs {
-			if run.overAt.IsZero() || now.Sub(run.overAt) <= leftLife {
-				run.broke, run.overAt = true, now
+			if run.stoppedAt.IsZero() || now.Sub(run.stoppedAt) <= restartWindow {
+				run.broke, run.stoppedAt = true, now
 			}
 		}
 		id, requests, blames = t.End(former, now)
 	}
-	delete(t.lives, former)
+	delete(t.incarnations, former)
 	return id, requests, blames
 }
 
-// Ended reports whether an engine is known to have ended just now.
+// Ended reports whether an engine is known to have crashed within breakWindow.
 func (t *Tracker) Ended(l Life, now time.Time) bool {
-	er := t.lives[l]
-	return er != nil && !er.endedAt.IsZero() && now.Sub(er.endedAt) <= brokenLife
+	er := t.incarnations[l]
+	return er != nil && !er.crashedAt.IsZero() && now.Sub(er.crashedAt) <= breakWindow
 }
 
-// Leaving notes whether the end of an engine is planned, or its entry is gone: that its connections
-// break is blamed on nobody then.
+// Leaving records whether an engine's shutdown is planned or its entry is gone. Broken connections are then no sign
+// of a crash.
 func (t *Tracker) Leaving(l Life, leaving bool, now time.Time) {
-	if leaving || t.lives[l] != nil {
-		t.life(l, now).leaving = leaving
+	if leaving || t.incarnations[l] != nil {
+		t.runsOf(l, now).draining = leaving
 	}
 }
 
-// Expire forgets runs and lives that are over for long.
+// Expire removes old runs and idle incarnations.
 func (t *Tracker) Expire(now time.Time) {
-	for l, er := range t.lives {
+	for l, er := range t.incarnations {
 		for run := range er.runs {
-			if !run.overAt.IsZero() && now.Sub(run.overAt) > leftLife {
+			if !run.stoppedAt.IsZero() && now.Sub(run.stoppedAt) > restartWindow {
 				delete(er.runs, run)
 			}
 		}
-		if len(er.runs) == 0 && now.Sub(er.usedAt) > lifeKept {
-			delete(t.lives, l)
+		if len(er.runs) == 0 && now.Sub(er.usedAt) > idleTTL {
+			delete(t.incarnations, l)
 		}
 	}
 }
 
-// Lives returns of how many lives of engines anything is remembered.
-func (t *Tracker) Lives() int { return len(t.lives) }
+// Lives returns the number of incarnations of engines that are tracked.
+func (t *Tracker) Lives() int { return len(t.incarnations) }
--- a/core/quarantine/tracker_test.go
+++ b/core/quarantine/tracker_test.go
@@ -8,18 +8,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// tracked is what one end is blamed on.
+// tracked is a crash and its suspects.
 type tracked struct {
 	End      EndID
 	Requests []int
 }
 
-// TestTracker checks what the end of an engine is blamed on.
+// TestTracker checks which requests are suspects of a crash.
 func TestTracker(t *testing.T) {
 	life := Life{Engine: "a", Start: 7}
 	untold := Life{Engine: "b"}
 	ms := func(n int) time.Time { return at(time.Duration(n) * time.Millisecond) }
-	// numbered returns the numbers of requests below ten.
+	// numbered returns the numbers of those requests that are below ten.
 	numbered := func(fs []Fingerprint) []int {
 		var out []int
 		for n := range 10 {
@@ -34,9 +34,9 @@
 		return tracked{id, numbered(fs)}
 	}
 	tests := []struct {
-		name string
-		play func(tr *Tracker) []tracked
-		want []tracked
+		name   string
+		replay func(tr *Tracker) []tracked
+		want   []tracked
 	}{
 		{"what broke just before, not what was answered or broke long ago", func(tr *Tracker) []tracked {
 			old, good, broken := tr.Send(request(0), life, ms(0)), tr.Send(request(1), life, ms(0)), tr.Send(request(2), life, ms(4000))
@@ -124,21 +124,21 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if diff := cmp.Diff(test.want, test.play(NewTracker())); diff != "" {
-				t.Errorf("blamed (-want +got):\n%s", diff)
+			if diff := cmp.Diff(test.want, test.replay(NewTracker())); diff != "" {
+				t.Errorf("suspects (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestTrackerForgets checks that nothing is left of what is over.
-func TestTrackerForgets(t *testing.T) {
+// TestTrackerExpires guards against a memory leak: finished and abandoned runs must be removed.
+func TestTrackerExpires(t *testing.T) {
 	tr := NewTracker()
 	run := tr.Send(request(0), Life{Engine: "a"}, start)
 	tr.Leave(run, start)
 	tr.Answer(tr.Send(request(1), Life{Engine: "b"}, start), true, start)
-	tr.Expire(at(2 * lifeKept))
-	if len(tr.lives) != 0 {
-		t.Errorf("%d lives are left", len(tr.lives))
+	tr.Expire(at(2 * idleTTL))
+	if len(tr.incarnations) != 0 {
+		t.Errorf("%d incarnations are left", len(tr.incarnations))
 	}
 }
--- a/core/quarantine/trial.go
+++ b/core/quarantine/trial.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// trialGaps are the times from a verdict to the first trial and from one trial to the next.
-// There are no more: each may cost an engine.
-var trialGaps = []time.Duration{10 * time.Minute, time.Hour}
+// trialDelays are the delays from a verdict to the first trial, and from each trial to the next. There are no further
+// trials, since each may crash an engine.
+var trialDelays = []time.Duration{10 * time.Minute, time.Hour}
 
-// longestHint is when a caller may ask again where no trial is due.
-const longestHint = time.Hour
+// maxRetryAfter is the retry delay where no further trial is due.
+const maxRetryAfter = time.Hour
 
-// trialDue returns when the next trial may begin; ok is false when there is none.
+// trialDue returns when the next trial may begin, relative to the registry's base; ok is false if there is none.
 func (rec *record) trialDue() (at time.Duration, ok bool) {
-	if int(rec.trials) >= len(trialGaps) {
+	if int(rec.trials) >= len(trialDelays) {
 		return 0, false
 	}
-	return rec.verdictAt + trialGaps[rec.trials], true
+	return rec.verdictAt + trialDelays[rec.trials], true
 }
 
-// BeginTrial begins a trial of a quarantined request if one is due. The caller sees to
-// it that no other node begins one.
+// BeginTrial begins a trial of a quarantined request if one is due, and reports whether it did. The caller has to
+// ensure that no other node begins one.
 func (r *Registry) BeginTrial(f Fingerprint, now time.Time) bool {
 	rec := r.records[f]
 	if rec == nil || rec.state != Quarantined {
@@ -29,18 +29,18 @@
 		return false
 	}
 	rec.trials++
-	rec.own = true
+	rec.local = true
 	rec.verdictAt = now.Sub(r.base)
 	r.apply(rec, trialBegun, now)
-	r.takeMoved()
+	r.takeTransitioned()
 	return true
 }
 
-// EndTrial notes that a trial is over. One that ended in a good answer, or ended its engine, was noted
-// as that already.
+// EndTrial records that a trial is over. It has no effect if the trial ended with a successful answer or a crash,
+// which were recorded before.
 func (r *Registry) EndTrial(f Fingerprint, now time.Time) {
 	if rec := r.records[f]; rec != nil {
 		r.apply(rec, trialOver, now)
-		r.takeMoved()
+		r.takeTransitioned()
 	}
 }
--- a/core/quarantine/turns.go
+++ b/core/quarantine/turns.go
@@ -3,66 +3,65 @@
 import "time"
 
 const (
-	// turnLife is how long a run may keep other copies of its request waiting: an engine that a
-	// request ends does so well within it, and a node that was lost keeps nobody longer.
-	turnLife = 3 * time.Second
-	// turnPause is how long after a run that did not end well the next copy may run: by then
-	// every node knows what the run came to.
-	turnPause = Settle + Tell
-	// mostTurns bounds the turns that are remembered.
-	mostTurns = 4096
+	// runLockTTL is how long a run may block other copies of its request. A request that crashes engines does so well
+	// within it, and a lock of a lost node expires after it.
+	runLockTTL = 3 * time.Second
+	// runLockCooldown is how long a lock stays taken after a run that no engine answered. By then every node
+	// knows the resulting state of the request.
+	runLockCooldown = Settle + Tell
+	// maxRunLocks bounds the number of locks held.
+	maxRunLocks = 4096
 )
 
-// Turns has the copies of an isolated request run one after the other. Copies that are sent
-// together cost no more engines than one, and yet each may be one sending too many. It is not
-// safe for concurrent use.
+// Turns holds one run lock per isolated request, so that its copies run one after the other. Copies that run
+// concurrently could crash several engines before the first crash is evaluated. It is not safe for concurrent use.
 type Turns struct {
-	taken map[Fingerprint]turn
+	locks map[Fingerprint]runLock
 }
 
-// turn is the run of one copy.
-type turn struct {
-	by    string
-	until time.Time
+// runLock is the lock of one request.
+type runLock struct {
+	holder string
+	until  time.Time
 }
 
-// NewTurns returns turns of which none is taken.
-func NewTurns() *Turns { return &Turns{taken: make(map[Fingerprint]turn)} }
+// NewTurns returns an empty set of run locks.
+func NewTurns() *Turns { return &Turns{locks: make(map[Fingerprint]runLock)} }
 
-// Take takes the turn of a request for a run that the name by tells from others. It returns 0,
-// or after what time to ask again.
+// Take acquires the run lock of a request for a run, which by identifies. It returns 0 if it succeeded, and otherwise
+// the delay after which to retry.
 func (t *Turns) Take(f Fingerprint, by string, now time.Time) (after time.Duration) {
-	if left := t.taken[f].until.Sub(now); left > 0 {
+	if left := t.locks[f].until.Sub(now); left > 0 {
 		return left
 	}
-	if len(t.taken) >= mostTurns {
+	if len(t.locks) >= maxRunLocks {
 		t.expire(now)
 	}
-	if len(t.taken) >= mostTurns {
-		// Of so many requests the copies may run together.
+	if len(t.locks) >= maxRunLocks {
+		// With so many isolated requests, copies of this one may run concurrently.
 		return 0
 	}
-	t.taken[f] = turn{by: by, until: now.Add(turnLife)}
+	t.locks[f] = runLock{holder: by, until: now.Add(runLockTTL)}
 	return 0
 }
 
-// Release gives a turn back; well is true where an engine has answered the run.
+// Release releases a run lock; well is true if an engine answered the run.
 func (t *Turns) Release(f Fingerprint, by string, well bool, now time.Time) {
-	switch old, ok := t.taken[f]; {
-	case !ok || old.by != by:
-		// It had lapsed.
+	switch old, ok := t.locks[f]; {
+	case !ok || old.holder != by:
+		// The lock has expired, and another run may hold it.
 	case well:
-		delete(t.taken, f)
+		delete(t.locks, f)
 	default:
-		t.taken[f] = turn{by: by, until: now.Add(turnPause)}
+		t.locks[f] = runLock{holder: by, until: now.Add(runLockCooldown)}
 	}
 }
 
-// expire forgets the turns that are over.
+// expire removes expired locks.
 func (t *Turns) expire(now time.Time) {
-	for f, old := range t.taken {
+	for f, old := range t.locks {
 		if !now.Before(old.until) {
-			delete(t.taken, f)
+			delete(t.locks, f)
 		}
 	}
 }
--- a/core/quarantine/turns_test.go
+++ b/core/quarantine/turns_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestTurns checks when the next copy of a request may run.
-func TestTurns(t *testing.T) {
+// TestRunLocks checks when the next copy of a request may run.
+func TestRunLocks(t *testing.T) {
 	f, g, now := Fingerprint{1}, Fingerprint{2}, time.Unix(1000, 0)
 	type step struct {
 		what  string
@@ -27,15 +27,15 @@
 	for _, s := range []step{
 		{"the first", 0, take(f, "a"), 0},
 		{"another request", 0, take(g, "b"), 0},
-		{"a copy meanwhile", time.Second, take(f, "b"), turnLife - time.Second},
+		{"a copy meanwhile", time.Second, take(f, "b"), runLockTTL - time.Second},
 		{"the first was answered", 0, release("a", true), 0},
 		{"a copy after it", 0, take(f, "b"), 0},
 		{"its engine ended", time.Second, release("b", false), 0},
-		{"a copy right after that", 0, take(f, "c"), turnPause},
-		{"a copy after what that came to is known", turnPause, take(f, "c"), 0},
-		{"it takes long", turnLife, take(f, "d"), 0},
+		{"a copy right after that", 0, take(f, "c"), runLockCooldown},
+		{"a copy after what that came to is known", runLockCooldown, take(f, "c"), 0},
+		{"it takes long", runLockTTL, take(f, "d"), 0},
 		{"and ends in another's turn", 0, release("c", true), 0},
-		{"a copy in that turn", 0, take(f, "e"), turnLife},
+		{"a copy in that turn", 0, take(f, "e"), runLockTTL},
 	} {
 		now = now.Add(s.after)
 		if diff := cmp.Diff(s.want, s.do(turns, now)); diff != "" {
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestOneCopyAtATime checks that within the life of a turn no two copies of a request run.
+// TestOneCopyAtATime checks that no two copies of a request run within the TTL of a run lock.
 func TestOneCopyAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		turns, now := NewTurns(), time.Unix(1000, 0)
@@ -58,7 +58,7 @@
 				turns.Release(f, since.String(), rapid.Bool().Draw(t, "well"), now)
 				delete(running, f)
 			case turns.Take(f, now.String(), now) > 0:
-			case ok && now.Sub(since) < turnLife:
+			case ok && now.Sub(since) < runLockTTL:
 				t.Fatalf("step %d: a second copy runs %v after the first", i, now.Sub(since))
 			default:
 				running[f] = now
@@ -67,14 +67,14 @@
 	})
 }
 
-// TestTurnsForgotten checks that turns that are over make way.
-func TestTurnsForgotten(t *testing.T) {
+// TestExpiredRunLocksRemoved checks that expired locks are removed when their number reaches the limit.
+func TestExpiredRunLocksRemoved(t *testing.T) {
 	turns, now := NewTurns(), time.Unix(1000, 0)
-	for i := range 2 * mostTurns {
-		now = now.Add(turnLife / mostTurns)
+	for i := range 2 * maxRunLocks {
+		now = now.Add(runLockTTL / maxRunLocks)
 		turns.Take(Fingerprint{byte(i), byte(i >> 8)}, "a", now)
 	}
-	if n := len(turns.taken); n > mostTurns {
-		t.Errorf("%d turns are remembered, want %d at most", n, mostTurns)
+	if n := len(turns.locks); n > maxRunLocks {
+		t.Errorf("%d locks are held, want %d at most", n, maxRunLocks)
 	}
 }
