--- a/core/quarantine/odds.go
+++ b/core/quarantine/odds.go
@@ -13,7 +13,7 @@
 	priorCrashing = 1e-4
 	// quarantineThreshold is the probability from which a request is quarantined.
 	quarantineThreshold = 0.9
-	// isolateThreshold is the probability from which a request runs only on the least loaded engine.
+	// isolateThreshold is the probability from which a request is isolated.
 	isolateThreshold = 0.1
 	// maxUnexplainedCrashes is the number of unexplained crashes that quarantines a request whatever its probability.
 	// It is a requirement of the users, and it stops a request that only ever runs beside others, whose probability
--- a/core/quarantine/state.go
+++ b/core/quarantine/state.go
@@ -7,10 +7,11 @@
 const (
 	// Clear: there is no unexplained suspicion.
 	Clear State = iota
-	// Suspected: an engine crashed while it ran this request and many others. It is sent to another engine than the
-	// other suspects.
+	// Suspected: an engine crashed while it ran this request and many others. It is preferably sent to an engine with
+	// little load and no other suspects.
 	Suspected
-	// Isolated: it is one of few suspects. It is sent to the least loaded engine.
+	// Isolated: it is one of few suspects. It is placed like a suspected request, and its copies run one at a time
+	// (see [Turns]).
 	Isolated
 	// Quarantined: it is sent to no engine.
 	Quarantined
--- a/internal/isolation/doc.go
+++ b/internal/isolation/doc.go
@@ -1,12 +1,10 @@
-// Package isolation keeps requests under which engines end from the engines of one node's
-// traffic.
+// Package isolation protects the engines of one node's traffic from requests that crash them.
 //
-// The problem: attempts, peers and the store each learn of such requests on goroutines of
-// their own, and every attempt must know at once what is known. The model: a [Guard] holds the
-// node's registry and tracker (core/quarantine) behind one lock. Traffic asks it before each
-// sending and tells it what became of each; the control side takes what changed from it
-// for the other nodes and the store, and merges what these say.
+// Attempts, peers and the store learn of such requests on separate goroutines, and every attempt must act at once on
+// all that is known. A [Guard] therefore holds the node's registry and tracker (core/quarantine) behind one lock. The
+// traffic side asks it before each attempt and reports the result of each attempt to it; the control side fetches the
+// changed entries for the other nodes and the store, and merges those that it receives.
 //
-// That an engine has ended, and not only a connection, is found out by opening a connection to
-// it: a process that is gone refuses.
+// A broken connection does not tell whether the engine has crashed. The guard finds out by opening a new connection,
+// which the host refuses if the process is gone.
 package isolation
--- a/internal/isolation/guard.go
+++ b/internal/isolation/guard.go
@@ -13,24 +13,24 @@
 	"olivetiller/core/refusal"
 )
 
-// Options are what a guard is made of.
+// Options configures a Guard.
 type Options struct {
 	Clock  clockwork.Clock
 	Logger hclog.Logger
-	// Refuses opens a connection to an address, closes it, and reports whether it was refused.
+	// Refuses opens a connection to an address, closes it, and reports whether the connection was refused.
 	Refuses func(ctx context.Context, address string) bool
-	// Changed is called when there is something to tell others; nil where nobody wants to know.
+	// Changed is called when there are new entries for other nodes; may be nil.
 	Changed func()
-	// Fresh reports whether the others' word is not too old; nil where there are no others.
+	// Fresh reports whether the entries received from other nodes are recent; nil if there are no other nodes.
 	Fresh func() bool
-	// Claim keeps the beginning of a trial for good, so that no other node begins it too; it
-	// returns an error where this node may not. Nil where there is only this node.
+	// Claim stores the start of a trial durably, so that no other node starts it too. It returns an error if this
+	// node may not start it. Nil if there is only this node.
 	Claim func(ctx context.Context, e quarantine.Entry) error
-	// Turns are those of all nodes; nil where there is only this node.
+	// Turns holds the run locks shared by all nodes; nil if there is only this node.
 	Turns TurnTaker
 }
 
-// Guard is what a node knows of requests that end engines. It is safe for concurrent use.
+// Guard tracks the requests that crash engines for one node. It is safe for concurrent use.
 type Guard struct {
 	o       Options
 	Metrics Metrics
@@ -38,18 +38,18 @@
 	mu       sync.Mutex
 	registry *quarantine.Registry
 	tracker  *quarantine.Tracker
-	// probes are closed when the engine's answer is known.
+	// probes holds the connection probes in progress; each channel is closed when the result is known.
 	probes map[quarantine.Life]chan struct{}
-	// expiredAt is when was last looked for what can be forgotten.
+	// expiredAt is when expired records and runs were last removed.
 	expiredAt time.Time
-	// starts are the latest starts that engines told, by their ids.
-	starts map[string]int64
-	turns  *quarantine.Turns
-	// turnSeq tells this node's runs in turns apart.
-	turnSeq atomic.Int64
+	// startTimes holds the latest published start time of each engine, by name, in Unix milliseconds.
+	startTimes map[string]int64
+	locks      *quarantine.Turns
+	// runSeq numbers this node's runs, to identify the holders of run locks.
+	runSeq atomic.Int64
 }
 
-// New returns a guard that knows nothing.
+// New returns a guard that knows of no crashes.
 func New(o Options) *Guard {
 	if o.Changed == nil {
 		o.Changed = func() {}
@@ -59,19 +59,19 @@
 	}
 	return &Guard{
 		o: o, registry: quarantine.NewRegistry(o.Clock.Now()), tracker: quarantine.NewTracker(),
-		probes: make(map[quarantine.Life]chan struct{}), starts: make(map[string]int64), turns: quarantine.NewTurns(),
+		probes: make(map[quarantine.Life]chan struct{}), startTimes: make(map[string]int64), locks: quarantine.NewTurns(),
 	}
 }
 
-// State returns what is thought of a request.
+// State returns the quarantine state of a request.
 func (g *Guard) State(f quarantine.Fingerprint) quarantine.State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.registry.State(f)
 }
 
-// Admit returns why a request is kept from engines, or nil, and whether its run is a trial. A request that
-// is one of few under which engines ended waits until the latest end has been judged.
+// Admit decides whether a request may run. It returns an error if the request is blocked, and otherwise whether the
+// run is a trial. A request that is one of few suspects first waits until its latest crash has been evaluated.
 func (g *Guard) Admit(ctx context.Context, f quarantine.Fingerprint) (trial bool, err error) {
 	if wait := g.unsettled(f); wait > 0 {
 		select {
@@ -85,7 +85,7 @@
 	if err = g.Held(f); err == nil {
 		return false, nil
 	}
-	if g.tryAgain(ctx, f) {
+	if g.beginTrial(ctx, f) {
 		return true, nil
 	}
 	return false, err
@@ -97,7 +97,7 @@
 	return g.registry.Unsettled(f, g.o.Clock.Now())
 }
 
-// Held returns why a request is kept from engines now, or nil.
+// Held returns an error if a request is blocked now, and nil otherwise.
 func (g *Guard) Held(f quarantine.Fingerprint) error {
 	g.mu.Lock()
 	again, held := g.registry.Held(f, g.o.Clock.Now())
@@ -105,19 +105,19 @@
 	g.mu.Unlock()
 	switch {
 	case held:
-		return refusal.New(refusal.Quarantined, "engines ended under request %s", f).After(again)
+		return refusal.New(refusal.Quarantined, "engines crashed while they ran request %s; retry later, or have an operator release it", f).After(again)
 	case doubtful && !g.o.Fresh():
-		return refusal.New(refusal.Quarantined, "engines ended under request %s, and what other nodes say of it is not known now", f).After(staleHint)
+		return refusal.New(refusal.Quarantined, "engines crashed while they ran request %s, and the entries of other nodes are out of date; retry", f).After(staleRetryAfter)
 	}
 	return nil
 }
 
-// staleHint is when to come back where only the others' word is missing: they are heard within a
-// second, or the balancer knows a better node.
-const staleHint = time.Second
+// staleRetryAfter is the retry delay where only recent entries of other nodes are missing. They arrive within a
+// second, or the load balancer learns that another node is better.
+const staleRetryAfter = time.Second
 
-// tryAgain begins a trial of a quarantined request if one is due.
-func (g *Guard) tryAgain(ctx context.Context, f quarantine.Fingerprint) bool {
+// beginTrial begins a trial of a quarantined request if one is due, and reports whether it did.
+func (g *Guard) beginTrial(ctx context.Context, f quarantine.Fingerprint) bool {
 	g.mu.Lock()
 	begun := g.registry.BeginTrial(f, g.o.Clock.Now())
 	entry := g.registry.Entry(f)
@@ -127,70 +127,70 @@
 	}
 	if g.o.Claim != nil {
 		if err := g.o.Claim(ctx, entry); err != nil {
-			g.o.Logger.Info("trial of a quarantined request not begun", "fingerprint", f.String(), "error", err.Error())
+			g.o.Logger.Info("trial run of a quarantined request not started", "fingerprint", f.String(), "error", err.Error())
 			g.TrialOver(f)
 			return false
 		}
 	}
-	g.o.Logger.Info("trial of a quarantined request", "fingerprint", f.String(), "trial", entry.Verdict.Trials)
+	g.o.Logger.Info("trial run of a quarantined request started", "fingerprint", f.String(), "trial", entry.Verdict.Trials)
 	g.o.Changed()
 	return true
 }
 
-// TrialOver notes that a trial of a request is over, or came to no run. For a request that is not on trial
-// it does nothing.
+// TrialOver records that the trial of a request is over, or was given up before the run. It has no effect on a
+// request that is not on trial.
 func (g *Guard) TrialOver(f quarantine.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.registry.EndTrial(f, g.o.Clock.Now())
 }
 
-// ended blames the requests that an engine ran at its end.
-func (g *Guard) ended(life quarantine.Life, end func(quarantine.Life, time.Time) (quarantine.EndID, []quarantine.Fingerprint, []quarantine.Blame)) {
+// recordCrash records a crash found by the tracker's method end, with the requests that the engine ran as suspects.
+func (g *Guard) recordCrash(incarnation quarantine.Life, end func(quarantine.Life, time.Time) (quarantine.EndID, []quarantine.Fingerprint, []quarantine.Blame)) {
 	g.mu.Lock()
 	now := g.o.Clock.Now()
-	id, requests, blames := end(life, now)
+	id, requests, blames := end(incarnation, now)
 	if id == (quarantine.EndID{}) {
 		g.mu.Unlock()
 		return
 	}
 	g.registry.Ended(id, now)
-	moved := g.registry.Blame(requests, blames, now)
+	transitioned := g.registry.Blame(requests, blames, now)
 	g.mu.Unlock()
 	g.Metrics.Ended.Add(1)
-	g.o.Logger.Info("engine ended", "engine", life.Engine, "born", life.Start, "running", len(requests))
-	g.tell(requests, blames, moved)
+	g.o.Logger.Info("engine crashed", "engine", incarnation.Engine, "born", incarnation.Start, "running", len(requests))
+	g.announce(requests, blames, transitioned)
 }
 
-// mostLines bounds the lines about one end: an engine may run hundreds of requests.
-const mostLines = 8
+// maxLogLines bounds the log lines for one crash: an engine may run hundreds of requests.
+const maxLogLines = 8
 
-// tell logs blames and what they came to, and has the others told.
-func (g *Guard) tell(requests []quarantine.Fingerprint, blames []quarantine.Blame, moved []quarantine.Fingerprint) {
+// announce logs suspicions and the resulting states, and notifies the other nodes.
+func (g *Guard) announce(requests []quarantine.Fingerprint, blames []quarantine.Blame, transitioned []quarantine.Fingerprint) {
 	for i, f := range requests {
-		if i == mostLines {
-			g.o.Logger.Info("blames not shown", "count", len(requests)-mostLines)
+		if i == maxLogLines {
+			g.o.Logger.Info("further suspects of the crash not logged", "count", len(requests)-maxLogLines)
 			break
 		}
-		g.logStatus("request blamed", f, "engine", blames[i].End.Engine, "born", blames[i].End.Start,
+		g.logStatus("request suspected of an engine crash", f, "engine", blames[i].End.Engine, "born", blames[i].End.Start,
 			"ranMs", blames[i].Ran.Milliseconds(), "begun", blames[i].Begun, "beside", len(requests)-1)
 	}
 	g.Metrics.Blamed.Add(int64(len(requests)))
-	g.judgeLater()
-	g.tellMoved(moved, "here")
+	g.scheduleEvaluation()
+	g.logTransitions(transitioned, "here")
 	if len(requests) > 0 {
 		g.o.Changed()
 	}
 }
 
-// tellMoved logs requests of which something else is thought, by whose word.
-func (g *Guard) tellMoved(moved []quarantine.Fingerprint, by string) {
-	for i, f := range moved {
-		if i == mostLines {
-			g.o.Logger.Info("requests not shown", "count", len(moved)-mostLines)
+// logTransitions logs requests whose state changed; by is the source of the change, "here" for this node.
+func (g *Guard) logTransitions(transitioned []quarantine.Fingerprint, by string) {
+	for i, f := range transitioned {
+		if i == maxLogLines {
+			g.o.Logger.Info("further state changes not logged", "count", len(transitioned)-maxLogLines)
 			break
 		}
-		g.logStatus("request thought of otherwise", f, "by", by)
+		g.logStatus("quarantine state of a request changed", f, "by", by)
 	}
 }
 
@@ -203,55 +203,54 @@
 	}, args...)...)
 }
 
-// Seen notes an endpoint's entry, and whether it leaves. A newer start than the one before means that the
-// life before has ended.
-func (g *Guard) Seen(life quarantine.Life, leaving bool) {
+// Seen records an engine's published entry, and whether it is draining. A later start time than before means that the
+// former incarnation has crashed.
+func (g *Guard) Seen(incarnation quarantine.Life, leaving bool) {
 	g.mu.Lock()
-	former, known := g.starts[life.Engine]
-	g.starts[life.Engine] = life.Start
-	g.tracker.Leaving(life, leaving, g.o.Clock.Now())
+	former, known := g.startTimes[incarnation.Engine]
+	g.startTimes[incarnation.Engine] = incarnation.Start
+	g.tracker.Leaving(incarnation, leaving, g.o.Clock.Now())
 	g.mu.Unlock()
-	if known && former != 0 && life.Start > former {
-		g.ended(quarantine.Life{Engine: life.Engine, Start: former}, g.tracker.Restart)
+	if known && former != 0 && incarnation.Start > former {
+		g.recordCrash(quarantine.Life{Engine: incarnation.Engine, Start: former}, g.tracker.Restart)
 	}
 }
 
-// Gone notes that an endpoint's entry is gone.
+// Gone records that an engine's entry was removed.
 func (g *Guard) Gone(engine string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tracker.Leaving(quarantine.Life{Engine: engine, Start: g.starts[engine]}, true, g.o.Clock.Now())
-	delete(g.starts, engine)
+	g.tracker.Leaving(quarantine.Life{Engine: engine, Start: g.startTimes[engine]}, true, g.o.Clock.Now())
+	delete(g.startTimes, engine)
 }
 
-// SetEngines notes how many engines there are, and SetWhole whether the blames of all nodes come
-// together here.
+// SetEngines sets the number of engines in the deployment.
 func (g *Guard) SetEngines(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.registry.SetEngines(n)
 }
 
-// SetWhole notes whether the blames of all nodes come together here.
+// SetWhole sets whether the blames of all nodes arrive here.
 func (g *Guard) SetWhole(whole bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.registry.SetWhole(whole)
 }
 
-// Judge judges the ends of which all is known by now. It is to be called some times a second.
+// Judge evaluates the crashes whose suspects are all known by now. It must be called several times per second.
 func (g *Guard) Judge() {
 	g.mu.Lock()
-	moved := g.registry.Judge(g.o.Clock.Now())
+	transitioned := g.registry.Judge(g.o.Clock.Now())
 	g.mu.Unlock()
-	if len(moved) > 0 {
-		g.tellMoved(moved, "here")
+	if len(transitioned) > 0 {
+		g.logTransitions(transitioned, "here")
 		g.o.Changed()
 	}
 }
 
-// judgeLater has Judge called once the latest ends have settled.
-func (g *Guard) judgeLater() {
+// scheduleEvaluation calls Judge once the latest crashes have settled.
+func (g *Guard) scheduleEvaluation() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.registry.Pending() {
@@ -259,46 +258,46 @@
 	}
 }
 
-// Merge takes in what another node, or the store, knows, and reports whether that was news.
+// Merge merges entries of another node or of the store, and reports whether they changed anything; by names the
+// source for the log.
 func (g *Guard) Merge(entries []quarantine.Entry, by string) bool {
 	if len(entries) == 0 {
 		return false
 	}
 	g.mu.Lock()
 	before := g.registry.Version()
-	moved := g.registry.Merge(entries, g.o.Clock.Now())
-	news := g.registry.Version() != before
+	transitioned := g.registry.Merge(entries, g.o.Clock.Now())
+	changed := g.registry.Version() != before
 	g.mu.Unlock()
-	if news {
-		g.judgeLater()
+	if changed {
+		g.scheduleEvaluation()
 	}
-	g.tellMoved(moved, by)
-	return news
+	g.logTransitions(transitioned, by)
+	return changed
 }
 
-// Since returns what changed since a version, and the version that this leads to.
+// Since returns the entries in scope that changed after a version, and the current version.
 func (g *Guard) Since(version uint64, scope quarantine.Scope) ([]quarantine.Entry, uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.registry.Since(version, scope)
 }
 
-// ToldVersion rises with each change that concerns other nodes.
+// ToldVersion returns a version that increases with each change that matters to other nodes.
 func (g *Guard) ToldVersion() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.registry.ToldVersion()
 }
 
-// List returns what is thought of all requests that are known.
+// List returns the status of all requests with a record.
 func (g *Guard) List() []quarantine.Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.registry.List()
 }
 
-// Release lets a request go by an operator's word. It reports whether there was anything to let
-// go.
+// Release clears a request at an operator's command, and reports whether there was anything to clear.
 func (g *Guard) Release(f quarantine.Fingerprint) bool {
 	g.mu.Lock()
 	released := g.registry.Release(f, g.o.Clock.Now())
--- a/internal/isolation/guard_test.go
+++ b/internal/isolation/guard_test.go
@@ -17,7 +17,7 @@
 	"olivetiller/core/view"
 )
 
-// testGuard returns a guard whose engines are gone where refused says so.
+// testGuard returns a guard whose engines refuse connections where refused returns true.
 func testGuard(clock clockwork.Clock, refused func() bool) *Guard {
 	return New(Options{
 		Clock: clock, Logger: hclog.NewNullLogger(),
@@ -29,17 +29,16 @@
 	return quarantine.FingerprintOf("", quarantine.DigestOf("POST", "h", path, nil))
 }
 
-// breakAt sends a request to an engine, whose connection breaks, and reports whether the
-// engine had ended.
-func breakAt(t *testing.T, g *Guard, path, engine string) bool {
+// breakConnection sends a request to an engine and breaks the connection. It reports whether the engine had crashed.
+func breakConnection(t *testing.T, g *Guard, path, engine string) bool {
 	t.Helper()
 	run := g.Send(fingerprint(path), view.Endpoint{Name: engine})
 	run.Began()
 	return run.Broke(t.Context())
 }
 
-// TestBrokenConnection checks that only the end of an engine is blamed on what ran there, not
-// that its connection broke.
+// TestBrokenConnection guards against requests that are blamed for a broken connection while the engine is still
+// running.
 func TestBrokenConnection(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -53,8 +52,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			g := testGuard(clockwork.NewFakeClock(), func() bool { return test.refused })
 			g.SetEngines(9)
-			if ended := breakAt(t, g, "/a", "e"); ended != test.refused {
-				t.Errorf("ended is %t", ended)
+			if ended := breakConnection(t, g, "/a", "e"); ended != test.refused {
+				t.Errorf("Broke returned %t", ended)
 			}
 			if diff := cmp.Diff(test.want.String(), g.State(fingerprint("/a")).String()); diff != "" {
 				t.Errorf("state (-want +got):\n%s", diff)
@@ -63,8 +62,8 @@
 	}
 }
 
-// TestAdmit checks what a request gets under which engines ended, and that its next run waits until the
-// latest end has been judged.
+// TestAdmit checks the refusals of a request under which engines crashed, and that its next run waits until the
+// latest crash has been evaluated.
 func TestAdmit(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	g := testGuard(clock, func() bool { return true })
@@ -75,17 +74,17 @@
 		var e *refusal.Error
 		if errors.As(err, &e) {
 			if !e.NotRun() {
-				t.Errorf("%v does not say that the request has not run", e)
+				t.Errorf("%v does not report that the request did not run", e)
 			}
 			return e.Kind
 		}
 		return ""
 	}
 	got := []refusal.Kind{admit()}
-	breakAt(t, g, "/a", "e1")
+	breakConnection(t, g, "/a", "e1")
 	got = append(got, admit())
 	clock.Advance(time.Second)
-	breakAt(t, g, "/a", "e2")
+	breakConnection(t, g, "/a", "e2")
 	kind := make(chan refusal.Kind)
 	go func() { kind <- admit() }()
 	for waiting := true; waiting; {
@@ -99,14 +98,15 @@
 	}
 	got = append(got, admit())
 	if diff := cmp.Diff([]refusal.Kind{"", "", refusal.Quarantined, refusal.Quarantined}, got); diff != "" {
-		t.Errorf("before any end, after one, after two and again (-want +got):\n%s", diff)
+		t.Errorf("refusals before any crash, after one, after two and again (-want +got):\n%s", diff)
 	}
 	if !g.Release(f) || admit() != "" {
-		t.Error("it was not released")
+		t.Error("the request was not released")
 	}
 }
 
-// TestTrialNeedsClaim checks that a trial begins only where it is kept for good that it did.
+// TestTrialNeedsClaim guards against trials of one request at several nodes: a trial may begin only if its start was
+// stored.
 func TestTrialNeedsClaim(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	g := testGuard(clock, func() bool { return true })
@@ -118,25 +118,25 @@
 		return claim
 	}
 	f := fingerprint("/a")
-	breakAt(t, g, "/a", "e1")
+	breakConnection(t, g, "/a", "e1")
 	clock.Advance(time.Second)
-	breakAt(t, g, "/a", "e2")
+	breakConnection(t, g, "/a", "e2")
 	clock.Advance(quarantine.Settle)
 	g.Judge()
 	clock.Advance(11 * time.Minute)
 	if trial, err := g.Admit(t.Context(), f); trial || err == nil {
-		t.Errorf("tried without a claim (%v)", err)
+		t.Errorf("trial without a claim: %v", err)
 	}
 	claim = nil
 	clock.Advance(2 * time.Hour)
 	if trial, err := g.Admit(t.Context(), f); !trial || err != nil {
-		t.Errorf("not tried: %v", err)
+		t.Errorf("no trial: %v", err)
 	}
 	if claimed != 2 {
 		t.Errorf("trial %d was claimed, want 2", claimed)
 	}
 	if err := g.Held(f); err == nil {
-		t.Error("a second run during the trial")
+		t.Error("a second run is admitted during the trial")
 	}
 	run := g.Send(f, view.Endpoint{Name: "e3"})
 	run.Answered(true)
@@ -145,10 +145,10 @@
 	}
 }
 
-// TestNewStarts checks that the new starts of engines are not blamed on a request that found them
-// gone. Found by TestRequestThatEndsEngines: of four engines that had ended under another request each refused
-// the connection of a proper one, which was convicted when all four had started again.
-func TestNewStarts(t *testing.T) {
+// TestRestartsNotBlamedOnUnsent guards against blaming restarts of engines on a request that never reached them: four
+// engines that had crashed under another request refused the connections of a harmless one, which was quarantined
+// when all four had restarted.
+func TestRestartsNotBlamedOnUnsent(t *testing.T) {
 	g := testGuard(clockwork.NewFakeClock(), func() bool { return true })
 	g.SetEngines(4)
 	for _, engine := range []string{"a", "b", "c", "d"} {
@@ -165,9 +165,9 @@
 	}
 }
 
-// TestStaleWord checks that a node which hears of no other sends a request no more that is one of few under
-// which several engines ended: what the others know of it may be a verdict.
-func TestStaleWord(t *testing.T) {
+// TestHeldWhileStale guards against a node that does not receive entries of other nodes and still sends a request
+// that is one of few suspects of several crashes: the other nodes may have quarantined it.
+func TestHeldWhileStale(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	g := testGuard(clock, func() bool { return true })
 	fresh := true
@@ -177,22 +177,22 @@
 	f := fingerprint("/a")
 	held := func() bool { return g.Held(f) != nil }
 	got := []bool{held()}
-	breakAt(t, g, "/a", "e1")
+	breakConnection(t, g, "/a", "e1")
 	fresh = false
 	got = append(got, held())
 	clock.Advance(time.Second)
-	breakAt(t, g, "/a", "e2")
+	breakConnection(t, g, "/a", "e2")
 	got = append(got, held())
 	fresh = true
 	got = append(got, held())
 	if diff := cmp.Diff([]bool{false, false, true, false}, got); diff != "" {
-		t.Errorf("held before any end, after one and two at a node that hears nobody, and when it hears others (-want +got):\n%s", diff)
+		t.Errorf("held before any crash, after one and after two while stale, and when fresh again (-want +got):\n%s", diff)
 	}
 }
 
-// TestForgetsRuns checks that nothing is left of runs that were given up, at a node whose control side does
-// not tend the guard.
-func TestForgetsRuns(t *testing.T) {
+// TestRunsExpire guards against a memory leak: abandoned runs must be removed also at a node whose control side never
+// calls the guard.
+func TestRunsExpire(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	g := testGuard(clock, func() bool { return true })
 	for i := range 100 {
--- a/internal/isolation/metrics.go
+++ b/internal/isolation/metrics.go
@@ -6,14 +6,14 @@
 	"olivetiller/core/quarantine"
 )
 
-// Metrics count what a guard saw.
+// Metrics counts the events that a guard recorded.
 type Metrics struct {
-	// Ended counts the engines that ended without notice, Blamed the requests that this node blamed for
-	// it, and Cleared those that an engine answered well later.
+	// Ended counts engine crashes, Blamed the requests that this node suspected of one, and Cleared those that an
+	// engine answered successfully later.
 	Ended, Blamed, Cleared expvar.Int
 }
 
-// Tree returns the metrics under their names, with the number of requests in each state.
+// Tree returns the metrics by name, with the number of requests in each state.
 func (g *Guard) Tree() *expvar.Map {
 	t := new(expvar.Map).Init()
 	t.Set("enginesEnded", &g.Metrics.Ended)
--- a/internal/isolation/turn_test.go
+++ b/internal/isolation/turn_test.go
@@ -14,28 +14,28 @@
 	"olivetiller/core/refusal"
 )
 
-// sharedTurns are the turns of some guards.
-type sharedTurns struct {
+// sharedLocks holds run locks that several guards share.
+type sharedLocks struct {
 	mu    sync.Mutex
 	clock clockwork.Clock
-	of    *quarantine.Turns
+	locks *quarantine.Turns
 }
 
-func (s *sharedTurns) TakeTurn(_ context.Context, f quarantine.Fingerprint, run string) time.Duration {
+func (s *sharedLocks) TakeTurn(_ context.Context, f quarantine.Fingerprint, run string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.of.Take(f, run, s.clock.Now())
+	return s.locks.Take(f, run, s.clock.Now())
 }
 
-func (s *sharedTurns) ReleaseTurn(f quarantine.Fingerprint, run string, well bool) {
+func (s *sharedLocks) ReleaseTurn(f quarantine.Fingerprint, run string, well bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.of.Release(f, run, well, s.clock.Now())
+	s.locks.Release(f, run, well, s.clock.Now())
 }
 
-// isolatedAt returns guards of some nodes at which a request is isolated.
-func isolatedAt(clock clockwork.Clock, nodes int, f quarantine.Fingerprint) []*Guard {
-	turns := &sharedTurns{clock: clock, of: quarantine.NewTurns()}
+// newIsolatingGuards returns guards of several nodes at which a request is isolated.
+func newIsolatingGuards(clock clockwork.Clock, nodes int, f quarantine.Fingerprint) []*Guard {
+	turns := &sharedLocks{clock: clock, locks: quarantine.NewTurns()}
 	blame := []quarantine.Blame{{End: quarantine.EndID{Engine: "e"}, Ran: 40 * time.Millisecond, Begun: true, At: clock.Now()}}
 	var guards []*Guard
 	for range nodes {
@@ -48,14 +48,14 @@
 	return guards
 }
 
-// TestCopiesOfIsolatedRequest checks that copies of an isolated request, sent by callers to several
-// nodes while no engine had room, do not all go to engines together.
+// TestCopiesOfIsolatedRequest guards against copies of an isolated request that are sent to engines together: callers
+// send them to several nodes while no engine has a free slot.
 func TestCopiesOfIsolatedRequest(t *testing.T) {
 	f, clock := quarantine.Fingerprint{1}, clockwork.NewFakeClock()
-	guards := isolatedAt(clock, 3, f)
+	guards := newIsolatingGuards(clock, 3, f)
 	for i, g := range guards {
 		if got := g.State(f); got != quarantine.Isolated {
-			t.Fatalf("node %d thinks of the request as %v, want isolated", i, got)
+			t.Fatalf("state at node %d is %v, want isolated", i, got)
 		}
 	}
 	over, err := guards[0].Turn(t.Context(), f)
@@ -73,17 +73,17 @@
 			results <- result{over, err}
 		}()
 	}
-	for range turnWait/turnAgain - 1 {
+	for range lockTimeout/lockRetryInterval - 1 {
 		if err := clock.BlockUntilContext(t.Context(), 6); err != nil {
 			t.Fatal(err)
 		}
-		clock.Advance(turnAgain)
+		clock.Advance(lockRetryInterval)
 	}
 	var kinds []refusal.Kind
 	for range 6 {
 		r := <-results
 		if r.err == nil {
-			t.Fatal("a copy may run beside another one")
+			t.Fatal("two copies may run concurrently")
 		}
 		kinds = append(kinds, refusal.As(r.err).Kind)
 	}
