--- a/core/signal/book.go
+++ b/core/signal/book.go
@@ -6,78 +6,80 @@
 	"time"
 )
 
-// Life is one life of an endpoint.
+// Life identifies one incarnation of an endpoint.
 type Life struct {
 	Endpoint string
-	// Start tells the lives under one name apart, in Unix milliseconds; 0 where it is not told.
+	// Start is the start time in Unix milliseconds; 0 if it is not known.
 	Start int64
 }
 
-// Change says what an answer changed of what is believed of an endpoint.
+// Change describes how an answer, or a report of another node, changed what is known of an endpoint.
 type Change struct {
 	Life
-	// Limit is the limit from now on, in requests a second; 0 for none. Before is the one until now.
+	// Limit is the new limit in requests per second, and Before the previous one; 0 for none.
 	Limit, Before float64
-	// Leaves is true where the endpoint has just said that it leaves.
+	// Leaves is true if the endpoint was not known to be draining before and now is.
 	Leaves bool
-	// Rest is for how long it wants nothing from this node, where it did not rest before; 0 elsewhere.
+	// Rest is the duration of a backoff that begins now; 0 if none begins or one is in force already.
 	Rest time.Duration
-	// Damaged are signals that could not be read and are to be reported.
+	// Damaged holds malformed signals that should be reported.
 	Damaged []Damage
 }
 
-// News reports whether what is believed has changed.
+// News reports whether anything changed.
 func (c *Change) News() bool { return c.Limit != c.Before || c.Leaves || c.Rest > 0 }
 
-// Fields are the change's names and values for a log line.
+// Fields returns keys and values that describe the change in a log line.
 func (c *Change) Fields() []any {
 	return []any{"endpoint", c.Endpoint, "born", c.Start, "limit", c.Limit, "before", c.Before, "leaves", c.Leaves, "restMs", c.Rest.Milliseconds()}
 }
 
-// Times of a book.
+// Retention times and intervals.
 const (
-	// keepFor is how long the book remembers an endpoint that says nothing any more.
-	keepFor = 10 * time.Minute
-	// keepLeaving is the same for one that has said that it leaves: longer than any lives on after that.
-	keepLeaving = 24 * time.Hour
-	// damageEvery is the least time between two reports of damaged signals of one endpoint.
-	damageEvery = 10 * time.Second
+	// entryTTL is how long an endpoint that sends no signals is kept.
+	entryTTL = 10 * time.Minute
+	// drainingTTL is the same for a draining endpoint: longer than any continues to run while it drains.
+	drainingTTL = 24 * time.Hour
+	// damageInterval is the least time between two reports of malformed signals of one endpoint.
+	damageInterval = 10 * time.Second
 )
 
-// Book keeps what the endpoints said. It is not safe for concurrent use.
+// Book holds the latest signals of all endpoints, as known to one node. It is not safe for concurrent use.
 type Book struct {
 	entries map[string]*entry
 	version uint64
-	// forgotAt is when the book last looked for what can be forgotten.
-	forgotAt time.Time
+	// expiredAt is when expired entries were last removed.
+	expiredAt time.Time
 }
 
-// entry is what one endpoint said.
+// entry holds the signals of one endpoint's latest incarnation.
 type entry struct {
 	start int64
-	// limit is the limit in force; 0 for none. saidAt is when an answer last named it, or the first one no longer
-	// did.
-	limit  float64
-	saidAt time.Time
-	// saidBy is the node that told so; "" where an answer to this node did.
-	saidBy string
-	// leaving is set once the life has said that it leaves.
-	leaving bool
-	// rest is until when it wants nothing from this node, and restOfOthers the same for some other node.
-	rest, restOfOthers time.Time
-	// version is that of the latest change.
+	// limit is the limit in force in requests per second, 0 for none. limitAt is when an answer last set it, or ended
+	// it by not naming one.
+	limit   float64
+	limitAt time.Time
+	// limitFrom is the node that reported the limit; "" if an answer to this node did.
+	limitFrom string
+	// draining is set once the incarnation has reported that it is draining.
+	draining bool
+	// backoffUntil is when the backoff ends that the endpoint asked of this node, and othersBackoffUntil the same for
+	// any other node.
+	backoffUntil, othersBackoffUntil time.Time
+	// version is the book's version at the latest change.
 	version uint64
-	// heardAt is when anything was last heard of the endpoint.
-	heardAt time.Time
-	// damagedAt is when damage was last reported.
+	// seenAt is when a signal or a report of the endpoint last arrived.
+	seenAt time.Time
+	// damagedAt is when malformed signals were last reported.
 	damagedAt time.Time
 }
 
-// NewBook returns a book in which nobody has said anything.
+// NewBook returns a book without signals.
 func NewBook() *Book { return &Book{entries: make(map[string]*entry)} }
 
-// at returns the entry of a life, begun anew where it is a later one than the book's; nil for a life before.
-func (b *Book) at(l Life) *entry {
+// entryFor returns the entry of an incarnation. It starts a new one if the incarnation is later than the known one,
+// and returns nil if it is earlier.
+func (b *Book) entryFor(l Life) *entry {
 	e := b.entries[l.Endpoint]
 	switch {
 	case e == nil, l.Start > e.start && e.start != 0:
@@ -91,85 +93,87 @@
 	return e
 }
 
-// Hear takes in what an answer says that came now to a request that was sent at a moment, and returns what that changed.
+// Hear applies the signals of an answer that arrived now to a request that was sent at the time sent, and returns the
+// change.
 func (b *Book) Hear(l Life, s Said, sent, now time.Time) Change {
-	b.forget(now)
-	if b.entries[l.Endpoint] == nil && s.silent() {
+	b.expire(now)
+	if b.entries[l.Endpoint] == nil && s.empty() {
 		return Change{}
 	}
-	e := b.at(l)
+	e := b.entryFor(l)
 	if e == nil {
 		return Change{}
 	}
-	e.heardAt = now
-	c := Change{Life: l, Limit: e.limit, Before: e.limit, Leaves: s.Leaving && !e.leaving}
-	if len(s.Damaged) > 0 && now.Sub(e.damagedAt) >= damageEvery {
+	e.seenAt = now
+	c := Change{Life: l, Limit: e.limit, Before: e.limit, Leaves: s.Leaving && !e.draining}
+	if len(s.Damaged) > 0 && now.Sub(e.damagedAt) >= damageInterval {
 		e.damagedAt, c.Damaged = now, s.Damaged
 	}
-	if until := now.Add(s.Rest); s.Rest > 0 && until.After(e.rest) {
-		if !now.Before(e.rest) {
+	if until := now.Add(s.Rest); s.Rest > 0 && until.After(e.backoffUntil) {
+		if !now.Before(e.backoffUntil) {
 			c.Rest = s.Rest
 		}
-		e.rest = until
+		e.backoffUntil = until
 	}
 	switch {
 	case s.Limit > 0:
-		c.Limit, e.saidAt, e.saidBy = s.Limit, now, ""
-	case e.limit > 0 && s.Ran && len(s.Damaged) == 0 && sent.After(e.saidAt):
-		c.Limit, e.saidAt, e.saidBy = 0, now, ""
+		c.Limit, e.limitAt, e.limitFrom = s.Limit, now, ""
+	case e.limit > 0 && s.Ran && len(s.Damaged) == 0 && sent.After(e.limitAt):
+		c.Limit, e.limitAt, e.limitFrom = 0, now, ""
 	}
-	b.put(e, &c)
+	b.commit(e, &c)
 	return c
 }
 
-// put puts a change in force.
-func (b *Book) put(e *entry, c *Change) {
+// commit stores a change.
+func (b *Book) commit(e *entry, c *Change) {
 	if !c.News() {
 		return
 	}
 	b.version++
-	e.version, e.limit, e.leaving = b.version, c.Limit, e.leaving || c.Leaves
+	e.version, e.limit, e.draining = b.version, c.Limit, e.draining || c.Leaves
 }
 
-// of returns the entry of a life; nil where it has said nothing.
-func (b *Book) of(l Life) *entry {
+// lookup returns the entry of an incarnation, or nil if it has sent no signals.
+func (b *Book) lookup(l Life) *entry {
 	if e := b.entries[l.Endpoint]; e != nil && (e.start == l.Start || e.start == 0) {
 		return e
 	}
 	return nil
 }
 
-// Rest returns until when a life of an endpoint wants nothing from this node; a past time where it does not rest.
+// Rest returns the end of the backoff that an incarnation asked of this node; a time in the past if there is none.
 func (b *Book) Rest(l Life) time.Time {
-	if e := b.of(l); e != nil {
-		return e.rest
+	if e := b.lookup(l); e != nil {
+		return e.backoffUntil
 	}
 	return time.Time{}
 }
 
-// restingCapacity stands for what an endpoint takes while it rests, in requests a second: less than anyone asks for.
-const restingCapacity = 0.001
+// backoffCapacity stands for the capacity of an endpoint during a backoff, in requests per second. It is smaller than
+// any demand.
+const backoffCapacity = 0.001
 
-// Capacities are how many requests a second lives of endpoints take by their word, of those that said so.
+// Capacities maps incarnations of endpoints to the capacity that they reported, in requests per second.
 type Capacities map[Life]float64
 
-// Of returns the capacity of a life; 0 where it said nothing of it.
+// Of returns the capacity of an incarnation; 0 if it reported none.
 func (c Capacities) Of(l Life) float64 {
 	if v, ok := c[l]; ok {
 		return v
 	}
-	// It spoke where its start was not told.
+	// The capacity was recorded while the start time was unknown.
 	return c[Life{Endpoint: l.Endpoint}]
 }
 
-// Capacities returns what the endpoints take by their word to any node.
+// Capacities returns the capacities that endpoints reported to any node.
 func (b *Book) Capacities(now time.Time) Capacities {
 	out := make(Capacities)
 	for name, e := range b.entries {
 		l := Life{Endpoint: name, Start: e.start}
 		switch {
-		case now.Before(e.rest) || now.Before(e.restOfOthers):
-			out[l] = restingCapacity
+		case now.Before(e.backoffUntil) || now.Before(e.othersBackoffUntil):
+			out[l] = backoffCapacity
 		case e.limit > 0:
 			out[l] = e.limit
 		}
@@ -177,23 +181,24 @@
 	return out
 }
 
-// Leaves reports whether a life of an endpoint has said that it leaves.
+// Leaves reports whether an incarnation has reported that it is draining.
 func (b *Book) Leaves(l Life) bool {
-	e := b.of(l)
-	return e != nil && e.leaving
+	e := b.lookup(l)
+	return e != nil && e.draining
 }
 
-// Former reports whether a later life of the endpoint has spoken: what is meant for this one would reach that one.
+// Former reports whether a later incarnation of the endpoint is known, which would receive a request meant for this
+// one.
 func (b *Book) Former(l Life) bool {
 	e := b.entries[l.Endpoint]
 	return e != nil && l.Start != 0 && e.start > l.Start
 }
 
-// Leaving returns the lives that have said that they leave.
+// Leaving returns the incarnations that have reported that they are draining.
 func (b *Book) Leaving() []Life {
 	var out []Life
 	for name, e := range b.entries {
-		if e.leaving {
+		if e.draining {
 			out = append(out, Life{Endpoint: name, Start: e.start})
 		}
 	}
@@ -201,15 +206,15 @@
 	return out
 }
 
-// Limit returns the limit that a life of an endpoint has named, in requests a second; 0 for none.
+// Limit returns the limit that an incarnation reported, in requests per second; 0 for none.
 func (b *Book) Limit(l Life) float64 {
-	if e := b.of(l); e != nil {
+	if e := b.lookup(l); e != nil {
 		return e.limit
 	}
 	return 0
 }
 
-// Limits returns the limits in force by endpoint, in requests a second.
+// Limits returns the limits in force by endpoint, in requests per second.
 func (b *Book) Limits() map[string]float64 {
 	out := make(map[string]float64)
 	for name, e := range b.entries {
@@ -220,25 +225,25 @@
 	return out
 }
 
-// Resting returns how much longer endpoints want nothing from this node, in milliseconds by name.
+// Resting returns the remaining backoffs that endpoints asked of this node, in milliseconds by endpoint.
 func (b *Book) Resting(now time.Time) map[string]int64 {
 	out := make(map[string]int64)
 	for name, e := range b.entries {
-		if left := e.rest.Sub(now); left > 0 {
+		if left := e.backoffUntil.Sub(now); left > 0 {
 			out[name] = left.Milliseconds()
 		}
 	}
 	return out
 }
 
-// forget drops the endpoints that have said nothing for long.
-func (b *Book) forget(now time.Time) {
-	if now.Sub(b.forgotAt) < keepFor {
+// expire removes the entries of endpoints without recent signals.
+func (b *Book) expire(now time.Time) {
+	if now.Sub(b.expiredAt) < entryTTL {
 		return
 	}
-	b.forgotAt = now
+	b.expiredAt = now
 	for name, e := range b.entries {
-		if silent := now.Sub(e.heardAt); silent >= keepLeaving || silent >= keepFor && !e.leaving {
+		if silent := now.Sub(e.seenAt); silent >= drainingTTL || silent >= entryTTL && !e.draining {
 			delete(b.entries, name)
 		}
 	}
--- a/core/signal/doc.go
+++ b/core/signal/doc.go
@@ -1,12 +1,13 @@
-// Package signal keeps what endpoints say of themselves in their answers.
+// Package signal keeps what endpoints report about themselves in their answers: a rate limit, that they are draining,
+// or that they want no requests for a while (backoff).
 //
-// The problem: an endpoint in need says so in the answers that it gives, seconds before the list of endpoints or
-// the holder of the lease tells it, and what it says binds every node that passed such an answer on. The model: the
-// adapter of a protocol decodes each answer's head once, into a [Said]; a [Book] keeps for each life of an endpoint
-// what it said last, and everything that picks an endpoint asks the book, and again right before a request's bytes
-// leave. A life that is new has said nothing.
+// An overloaded endpoint says so in its answers seconds before the endpoint list or the lease holder reports it, and
+// the signal binds every node that received such an answer. The adapter of each protocol decodes the header of an
+// answer once, into a [Said]. A [Book] keeps the latest signals of each incarnation of an endpoint; the code that
+// picks an endpoint consults it, and does so again right before a request is sent. Nodes exchange what they received
+// as [Word] values. A new incarnation starts without signals.
 //
-// Answers count in the order in which they came, but for one: that a limit is no longer named counts only in the
-// answer to a request that was sent after the limit was last named, so that what was under way from before does not
+// Answers are applied in the order of their arrival, with one exception: an answer without a limit ends a limit only
+// if its request was sent after the limit was last received. Answers to requests that were already in flight do not
 // end it.
 package signal
--- a/core/signal/signal.go
+++ b/core/signal/signal.go
@@ -8,57 +8,58 @@
 	"time"
 )
 
-// Said is what one answer of an endpoint says of the endpoint itself.
+// Said holds the signals that one answer of an endpoint carries about the endpoint itself.
 type Said struct {
-	// Limit is how many requests a second the endpoint takes from all nodes together, above 0; 0 where it names
-	// none.
+	// Limit is the number of requests per second that the endpoint accepts from all nodes together; 0 if the answer
+	// names none.
 	Limit float64
-	// Leaving is true where the endpoint takes no new requests for as long as it lives.
+	// Leaving is true if the endpoint is draining: it accepts no new requests until it stops.
 	Leaving bool
-	// Rest is for how long the endpoint wants nothing from this node; 0 where it does not say so.
+	// Rest is how long this node should send the endpoint no requests; 0 if the answer asks for no backoff.
 	Rest time.Duration
-	// Ran is true where the endpoint ran the request. Only such an answer ends a limit by not naming it.
+	// Ran is true if the endpoint ran the request. Only such an answer ends a limit by not naming one.
 	Ran bool
-	// Damaged are the signals that could not be read; they change nothing.
+	// Damaged holds the signals that could not be parsed; they have no effect.
 	Damaged []Damage
 }
 
-// silent reports whether nothing is said.
-func (s *Said) silent() bool { return s.Limit == 0 && !s.Leaving && s.Rest == 0 && len(s.Damaged) == 0 }
+// empty reports whether there are no signals.
+func (s *Said) empty() bool { return s.Limit == 0 && !s.Leaving && s.Rest == 0 && len(s.Damaged) == 0 }
 
-// Damage is a signal whose value could not be read.
+// Damage is the error for a signal whose value could not be parsed.
 type Damage struct {
-	// Name is the header's, Value what it held, and Want what it may hold.
+	// Name is the name of the header, Value its value, and Want describes valid values.
 	Name, Value, Want string
 }
 
 // Error implements error.
 func (d Damage) Error() string {
-	return fmt.Sprintf("header %s of an endpoint's answer is %q, want %s", d.Name, d.Value[:min(len(d.Value), maxShown)], d.Want)
+	return fmt.Sprintf("header %s of an endpoint's answer is %q, want %s", d.Name, d.Value[:min(len(d.Value), maxValueBytes)], d.Want)
 }
 
-// maxShown bounds what is shown of a damaged value, in bytes.
-const maxShown = 64
+// maxValueBytes bounds how much of a malformed value the error contains, in bytes.
+const maxValueBytes = 64
 
-// mostRest bounds the rest that an endpoint may ask for.
-const mostRest = time.Hour
+// maxBackoff bounds the backoff that an endpoint may ask for.
+const maxBackoff = time.Hour
 
-// Rest reads the values of a header that holds a rest in seconds; 0 where it is absent or damaged, and damage says why.
+// Rest parses the values of a header that holds a backoff in seconds. It returns 0 if the header is absent, and 0
+// with the damage if it is malformed.
 func Rest(name string, values []string) (rest time.Duration, damage *Damage) {
-	seconds, damage := read(name, values, fmt.Sprintf("a number of seconds from 0 to %v", mostRest.Seconds()), func(v float64) bool {
-		return v >= 0 && v <= mostRest.Seconds()
+	seconds, damage := parseNumber(name, values, fmt.Sprintf("a number of seconds from 0 to %v", maxBackoff.Seconds()), func(v float64) bool {
+		return v >= 0 && v <= maxBackoff.Seconds()
 	})
 	return time.Duration(seconds * float64(time.Second)), damage
 }
 
-// Number reads the values of a header that holds one number above 0; 0 where it is absent or damaged, and damage says
-// why.
+// Number parses the values of a header that holds one number above 0. It returns 0 if the header is absent, and 0
+// with the damage if it is malformed.
 func Number(name string, values []string) (v float64, damage *Damage) {
-	return read(name, values, "one number above 0", func(v float64) bool { return v > 0 && !math.IsInf(v, 0) })
+	return parseNumber(name, values, "one number above 0", func(v float64) bool { return v > 0 && !math.IsInf(v, 0) })
 }
 
-// read reads the values of a header that holds one number, which must be valid.
-func read(name string, values []string, want string, valid func(float64) bool) (float64, *Damage) {
+// parseNumber parses the values of a header that holds one number for which valid must return true.
+func parseNumber(name string, values []string, want string, valid func(float64) bool) (float64, *Damage) {
 	if len(values) == 0 {
 		return 0, nil
 	}
--- a/core/signal/signal_test.go
+++ b/core/signal/signal_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// TestLimitFollowsAnswers walks a limit through answers of one and of several lives.
+// TestLimitFollowsAnswers guards against a limit that is ended or revived by the wrong answer: one to a request sent
+// earlier, a refusal, a malformed one, or one of another incarnation.
 func TestLimitFollowsAnswers(t *testing.T) {
 	one, two := Life{"i-1", 1}, Life{"i-1", 2}
 	named := func(limit float64) Said { return Said{Limit: limit, Ran: true} }
@@ -54,7 +55,7 @@
 		of        Life
 		said      Said
 		sent, now time.Duration
-		// limits are those of both lives afterwards.
+		// limits holds the limits of both incarnations afterwards.
 		limits [2]float64
 		change bool
 	}{
@@ -80,15 +81,15 @@
 	}
 }
 
-// TestDamageIsReportedNowAndThen checks that an endpoint whose signals cannot be read is reported once in a while.
-func TestDamageIsReportedNowAndThen(t *testing.T) {
+// TestDamageReportsLimited guards against a log line for each answer of an endpoint whose signals are malformed.
+func TestDamageReportsLimited(t *testing.T) {
 	b, reports := NewBook(), 0
 	s := Said{Ran: true, Damaged: []Damage{{Name: "H", Value: "x"}}}
-	for d := time.Duration(0); d < 3*damageEvery; d += damageEvery / 20 {
+	for d := time.Duration(0); d < 3*damageInterval; d += damageInterval / 20 {
 		reports += len(b.Hear(Life{Endpoint: "i-1"}, s, at(d), at(d)).Damaged)
 	}
 	if reports != 3 {
-		t.Errorf("%d reports in 3 periods of %v, want 3", reports, damageEvery)
+		t.Errorf("%d reports in 3 periods of %v, want 3", reports, damageInterval)
 	}
 }
 
@@ -119,31 +120,32 @@
 	}
 }
 
-// TestRestsAddUp checks until when an endpoint rests that asks for it several times, and what other nodes' rests mean.
-func TestRestsAddUp(t *testing.T) {
+// TestOverlappingBackoffs checks when overlapping backoffs of an endpoint end, and that a backoff asked of another
+// node only affects the endpoint's capacity.
+func TestOverlappingBackoffs(t *testing.T) {
 	life := Life{"i-1", 1}
 	b := NewBook()
 	hear := func(rest, now time.Duration) bool {
 		return b.Hear(life, Said{Rest: rest}, at(now), at(now)).Rest > 0
 	}
 	if !hear(3*time.Second, 0) || hear(time.Second, time.Second) {
-		t.Error("a rest in a rest is said to begin")
+		t.Error("a backoff within a backoff is reported as a new one")
 	}
 	if got := b.Rest(life); !got.Equal(at(3 * time.Second)) {
-		t.Errorf("a shorter rest ends it at %v", got.Sub(start))
+		t.Errorf("a shorter backoff ends it at %v", got.Sub(start))
 	}
 	hear(3*time.Second, 2*time.Second)
 	if got := b.Rest(life); !got.Equal(at(5 * time.Second)) {
-		t.Errorf("a longer rest ends at %v, want 5s", got.Sub(start))
+		t.Errorf("a longer backoff ends at %v, want 5s", got.Sub(start))
 	}
 	other := NewBook()
 	for _, w := range b.Since(0) {
 		other.Merge(w, at(2*time.Second))
 	}
 	if got := other.Rest(life); got.After(at(2 * time.Second)) {
-		t.Error("another node's rest binds this one")
+		t.Error("another node's backoff binds this one")
 	}
-	if got := [2]float64{other.Capacities(at(4 * time.Second)).Of(life), other.Capacities(at(6 * time.Second)).Of(life)}; got != [2]float64{restingCapacity, 0} {
-		t.Errorf("capacity in the rest and after it = %v", got)
+	if got := [2]float64{other.Capacities(at(4 * time.Second)).Of(life), other.Capacities(at(6 * time.Second)).Of(life)}; got != [2]float64{backoffCapacity, 0} {
+		t.Errorf("capacity during the backoff and after it = %v", got)
 	}
 }
--- a/core/signal/word.go
+++ b/core/signal/word.go
@@ -8,25 +8,26 @@
 	"time"
 )
 
-// Word is what one node heard of an endpoint, for the others.
+// Word is a report about an endpoint from one node to others.
 type Word struct {
 	Life
-	// Limit is in requests a second; 0 where the endpoint no longer names one.
+	// Limit is in requests per second; 0 if the endpoint no longer names one.
 	Limit float64
 	// At is when an answer last said so.
 	At time.Time
-	// Leaving is true where the life has said that it leaves.
+	// Leaving is true if the incarnation has reported that it is draining.
 	Leaving bool
-	// RestUntil is until when it wants nothing from the node that heard it; a past time where it does not rest.
+	// RestUntil is the end of the backoff that the endpoint asked of the reporting node; a time in the past if there
+	// is none.
 	RestUntil time.Time
-	// By names who told this node; what one node tells is in order, whatever its clock.
+	// By is the node that sent the report. Reports of one node are ordered among themselves, whatever its clock.
 	By string
 }
 
-// ErrBadWord is returned for a word that no endpoint can have said.
-var ErrBadWord = errors.New("a word on an endpoint needs its name and a limit of 0 or more; leave it out")
+// ErrBadWord is returned for a report that no endpoint can have caused.
+var ErrBadWord = errors.New("a report on an endpoint needs its name and a finite limit of 0 or more; leave the report out")
 
-// Check returns an error for a word that no endpoint can have said.
+// Check returns ErrBadWord if the endpoint's name is missing or the limit is not a finite number of 0 or more.
 func (w *Word) Check() error {
 	if w.Endpoint == "" || !(w.Limit >= 0) || math.IsInf(w.Limit, 0) {
 		return ErrBadWord
@@ -34,48 +35,48 @@
 	return nil
 }
 
-// relaySlack is by how much the moment of another node's word may be too late: that a limit has ended counts only
-// where this node has not heard it named as late as that.
-const relaySlack = 500 * time.Millisecond
+// maxRelayDelay is by how much the time of another node's report may be too late. Such a report ends a limit only if
+// its time is later, by more than this, than the last time this node knows the limit to have been in force.
+const maxRelayDelay = 500 * time.Millisecond
 
-// Version rises with each change that concerns other nodes.
+// Version increases with each change that other nodes need to know.
 func (b *Book) Version() uint64 { return b.version }
 
-// Since returns what changed since a version, in the order of names.
+// Since returns reports on the endpoints that changed after a version, sorted by name.
 func (b *Book) Since(version uint64) []Word {
 	var out []Word
 	for name, e := range b.entries {
 		if e.version > version {
-			out = append(out, Word{Life: Life{Endpoint: name, Start: e.start}, Limit: e.limit, At: e.saidAt, Leaving: e.leaving, RestUntil: later(e.rest, e.restOfOthers)})
+			out = append(out, Word{Life: Life{Endpoint: name, Start: e.start}, Limit: e.limit, At: e.limitAt, Leaving: e.draining, RestUntil: later(e.backoffUntil, e.othersBackoffUntil)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Word) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return out
 }
 
-// Merge takes in what another node heard, and returns what that changed here.
+// Merge applies another node's report, and returns the change.
 func (b *Book) Merge(w Word, now time.Time) Change {
-	b.forget(now)
-	e := b.at(w.Life)
+	b.expire(now)
+	e := b.entryFor(w.Life)
 	if e == nil {
 		return Change{}
 	}
-	e.heardAt = now
-	least := e.saidAt
-	if w.Limit == 0 && e.limit > 0 && (w.By == "" || w.By != e.saidBy) {
-		least = least.Add(relaySlack)
+	e.seenAt = now
+	after := e.limitAt
+	if w.Limit == 0 && e.limit > 0 && (w.By == "" || w.By != e.limitFrom) {
+		after = after.Add(maxRelayDelay)
 	}
-	c := Change{Life: w.Life, Limit: e.limit, Before: e.limit, Leaves: w.Leaving && !e.leaving}
-	if w.At.After(least) && w.Limit != e.limit {
-		c.Limit, e.saidAt, e.saidBy = w.Limit, w.At, w.By
+	c := Change{Life: w.Life, Limit: e.limit, Before: e.limit, Leaves: w.Leaving && !e.draining}
+	if w.At.After(after) && w.Limit != e.limit {
+		c.Limit, e.limitAt, e.limitFrom = w.Limit, w.At, w.By
 	}
-	if now.After(e.restOfOthers) && w.RestUntil.After(now) {
-		// It binds the node that was asked; here it says what the endpoint can take.
+	if now.After(e.othersBackoffUntil) && w.RestUntil.After(now) {
+		// A backoff binds only the node that was asked for it; here it only lowers the endpoint's reported capacity.
 		b.version++
 		e.version = b.version
 	}
-	e.restOfOthers = later(e.restOfOthers, w.RestUntil)
-	b.put(e, &c)
+	e.othersBackoffUntil = later(e.othersBackoffUntil, w.RestUntil)
+	b.commit(e, &c)
 	return c
 }
 
--- a/core/signal/word_test.go
+++ b/core/signal/word_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestMerge checks which words of other nodes change what this one believes, which heard a limit of 2 at 10 s.
+// TestMerge checks which reports change what is known at a node that received a limit of 2 at 10 s.
 func TestMerge(t *testing.T) {
 	life := Life{"i-1", 5}
 	tests := []struct {
@@ -18,8 +18,8 @@
 	}{
 		{"a newer limit", Word{Life: life, Limit: 3, At: at(11 * time.Second)}, 3},
 		{"an older limit", Word{Life: life, Limit: 3, At: at(9 * time.Second)}, 2},
-		{"its end, surely later", Word{Life: life, At: at(10*time.Second + relaySlack + 1)}, 0},
-		{"its end, at about the same time", Word{Life: life, At: at(10*time.Second + relaySlack)}, 2},
+		{"its end, surely later", Word{Life: life, At: at(10*time.Second + maxRelayDelay + 1)}, 0},
+		{"its end, at about the same time", Word{Life: life, At: at(10*time.Second + maxRelayDelay)}, 2},
 		{"the life before", Word{Life: Life{"i-1", 4}, Limit: 3, At: at(11 * time.Second)}, 2},
 		{"another endpoint", Word{Life: Life{"i-2", 5}, Limit: 3, At: at(11 * time.Second)}, 2},
 	}
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestSince checks that a node tells each change once, and the latest state of each endpoint only.
+// TestSince checks that a node reports each change once, and only the latest state of each endpoint.
 func TestSince(t *testing.T) {
 	b := NewBook()
 	one, two := Life{Endpoint: "i-1"}, Life{Endpoint: "i-2"}
@@ -44,14 +44,14 @@
 	told := b.Version()
 	b.Hear(two, Said{Limit: 3, Ran: true}, at(3), at(4))
 	if words := b.Since(told); len(words) != 0 {
-		t.Errorf("nothing changed, and %v is told", words)
+		t.Errorf("nothing changed, but Since returns %v", words)
 	}
 	b.Hear(one, Said{Ran: true}, at(5), at(6))
 	if diff := cmp.Diff([]Word{{Life: one, At: at(6)}}, b.Since(told)); diff != "" {
-		t.Errorf("words since (-want +got):\n%s", diff)
+		t.Errorf("reports since (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff([]Word{{Life: one, At: at(6)}, {Life: two, Limit: 3, At: at(4)}}, b.Since(0)); diff != "" {
-		t.Errorf("all words (-want +got):\n%s", diff)
+		t.Errorf("all reports (-want +got):\n%s", diff)
 	}
 }
 
@@ -59,29 +59,29 @@
 	bad := []Word{{}, {Life: Life{"i-1", 0}, Limit: -1, At: start}, {Life: Life{"i-1", 0}, Limit: math.NaN(), At: start}, {Life: Life{"i-1", 0}, Limit: math.Inf(1), At: start}}
 	for _, w := range bad {
 		if w.Check() == nil {
-			t.Errorf("%+v passes for a word", w)
+			t.Errorf("Check accepts %+v", w)
 		}
 	}
 	if good := (Word{Life: Life{"i-1", 0}, Limit: 1, At: start}); good.Check() != nil {
-		t.Errorf("%+v does not pass: %v", good, good.Check())
+		t.Errorf("Check rejects %+v: %v", good, good.Check())
 	}
 }
 
-// TestLeavingIsForLife checks that a life which has said that it leaves does so until it is another one, whatever it and
-// others say later.
-func TestLeavingIsForLife(t *testing.T) {
+// TestDrainingUntilNextIncarnation guards against an incarnation that is taken for available again after it reported
+// that it is draining, because of later answers or reports without that signal.
+func TestDrainingUntilNextIncarnation(t *testing.T) {
 	one, two := Life{"i-1", 1}, Life{"i-1", 2}
 	steps := []struct {
 		name string
 		do   func(b *Book)
-		// leaves are those of both lives afterwards.
+		// leaves tells for both incarnations whether they are draining afterwards.
 		leaves [2]bool
 	}{
 		{"an answer", func(b *Book) { b.Hear(one, Said{Ran: true}, at(0), at(1)) }, [2]bool{false, false}},
 		{"its word", func(b *Book) { b.Hear(one, Said{Leaving: true, Ran: true}, at(1), at(2)) }, [2]bool{true, false}},
 		{"an answer without it", func(b *Book) { b.Hear(one, Said{Ran: true}, at(3), at(4)) }, [2]bool{true, false}},
 		{"another node's word without it", func(b *Book) { b.Merge(Word{Life: one, Limit: 2, At: at(5)}, at(6)) }, [2]bool{true, false}},
-		{"a long time", func(b *Book) { b.forget(at(keepFor)); b.forget(at(2 * keepFor)) }, [2]bool{true, false}},
+		{"a long time", func(b *Book) { b.expire(at(entryTTL)); b.expire(at(2 * entryTTL)) }, [2]bool{true, false}},
 		{"the next life", func(b *Book) { b.Hear(two, Said{Limit: 1, Ran: true}, at(7), at(8)) }, [2]bool{false, false}},
 		{"a late word of the life before", func(b *Book) { b.Merge(Word{Life: one, At: at(9), Leaving: true}, at(10)) }, [2]bool{false, false}},
 		{"another node's word", func(b *Book) { b.Merge(Word{Life: two, At: at(11), Leaving: true}, at(12)) }, [2]bool{false, true}},
