--- a/core/customer/customer.go
+++ b/core/customer/customer.go
@@ -8,19 +8,19 @@
 	"math"
 )
 
-// digestBytes is the part of a key's hash that is kept: two of a million keys have
-// it in common with a chance under 1 in 10^26.
+// digestBytes is the length of the prefix of a key's hash that is kept. Among a million keys, the probability that
+// two share it is below 1 in 10^26.
 const digestBytes = 16
 
-// Digest stands for a key wherever it need not be known itself.
+// Digest identifies a key without revealing it: the first bytes of its SHA-256 hash.
 type Digest [digestBytes]byte
 
-// usualKey is the length in bytes up to which a key is hashed without an allocation.
-const usualKey = 128
+// maxStackKey is the length in bytes up to which a key is hashed without an allocation.
+const maxStackKey = 128
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest {
-	var buf [usualKey]byte
+	var buf [maxStackKey]byte
 	sum := sha256.Sum256(append(buf[:0], key...))
 	return Digest(sum[:digestBytes])
 }
@@ -31,37 +31,38 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(digestBytes) {
-		return fmt.Errorf("a key's digest has %d hexadecimal digits, not %d", hex.EncodedLen(digestBytes), len(text))
+		return fmt.Errorf("the digest of a key must have %d hexadecimal digits, got %d", hex.EncodedLen(digestBytes), len(text))
 	}
 	_, err := hex.Decode(d[:], text)
 	return err
 }
 
-// Unit is what a limit counts.
+// Unit is the unit in which a limit counts requests.
 type Unit uint8
 
-// The units.
+// Possible units.
 const (
-	// Requests count 1 each.
+	// Requests counts 1 for each request.
 	Requests Unit = iota
-	// Tokens counts what a request reads and makes.
+	// Tokens counts the input and output tokens of a request.
 	Tokens
 )
 
-// Limit bounds what a customer may send over all nodes together.
+// Limit is a token-bucket rate limit on what a customer may send to all nodes together.
 type Limit struct {
-	// Rate is in units a second, and Burst what may come on top, in units. A rate of 0
-	// is no limit.
+	// Rate is in units per second, and Burst, in units, is what may be sent at once on top of it. A rate of 0 means
+	// no limit.
 	Rate, Burst float64
 	Unit        Unit
-	// PlainTokens is what a request counts that tells no tokens.
+	// PlainTokens is the cost of a request without token counts, if the unit is Tokens.
 	PlainTokens float64
 }
 
 // Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
-// Cost returns what a request counts: told is false where it told no tokens.
+// Cost returns the cost of a request in units of the limit; in and out are its numbers of tokens, and told is false
+// if it states none.
 func (l Limit) Cost(in, out int, told bool) float64 {
 	switch {
 	case l.Unit == Requests:
@@ -72,23 +73,23 @@
 	return float64(max(0, in)) + float64(max(0, out))
 }
 
-// Customer is one customer of a version of the configuration.
+// Customer is one entry of a version of the configuration.
 type Customer struct {
-	// Name is what engines are told.
+	// Name identifies the customer to engines.
 	Name string
-	// Keys may be empty: nobody can send as this customer then.
+	// Keys holds the digests of the customer's keys. Without any, nobody can send requests as this customer.
 	Keys []Digest
-	// Priority goes before that of the route where Ranked is set; 0 is the most urgent.
+	// Priority overrides the priority of the route if Ranked is set; 0 is the most urgent.
 	Priority int
 	Ranked   bool
 	Limit    Limit
-	// Regions are those that may serve the customer's requests; none stands for all.
+	// Regions are the regions that may serve the customer's requests; empty means all.
 	Regions []string
 }
 
-// Fault is something wrong with a customer.
+// Fault is the error for an invalid customer.
 type Fault struct {
-	// Customer is its name, shortened.
+	// Customer is the customer's name; Error shortens it.
 	Customer string
 	Problem  string
 }
@@ -96,28 +97,28 @@
 // Error implements error.
 func (f Fault) Error() string { return fmt.Sprintf("customer %.40q: %s", f.Customer, f.Problem) }
 
-// check returns what is wrong with a customer by itself.
+// check validates a customer on its own.
 func (c *Customer) check() error {
 	switch l := c.Limit; {
 	case c.Name == "":
-		return Fault{"", "it has no name; name it"}
-	case !sendable(c.Name):
-		return Fault{c.Name, "its name cannot stand in a header; use printable characters without spaces at the ends"}
-	case !amount(l.Rate):
-		return Fault{c.Name, fmt.Sprintf("its rate is %v; give a number of 0 or more", l.Rate)}
-	case !amount(l.Burst):
-		return Fault{c.Name, fmt.Sprintf("its burst is %v; give a number of 0 or more", l.Burst)}
-	case !amount(l.PlainTokens):
-		return Fault{c.Name, fmt.Sprintf("a request without counts has %v tokens; give a number of 0 or more", l.PlainTokens)}
+		return Fault{"", "the name is empty; set one"}
+	case !validHeaderValue(c.Name):
+		return Fault{c.Name, "the name is not a valid header value; use printable ASCII characters, and no space at either end"}
+	case !validAmount(l.Rate):
+		return Fault{c.Name, fmt.Sprintf("the rate is %v; use a finite number of 0 or more", l.Rate)}
+	case !validAmount(l.Burst):
+		return Fault{c.Name, fmt.Sprintf("the burst is %v; use a finite number of 0 or more", l.Burst)}
+	case !validAmount(l.PlainTokens):
+		return Fault{c.Name, fmt.Sprintf("the cost of a request without token counts is %v; use a finite number of 0 or more", l.PlainTokens)}
 	}
 	return nil
 }
 
-// amount reports whether a number can be an amount of something.
-func amount(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
+// validAmount reports whether a number is finite and not negative.
+func validAmount(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 
-// sendable reports whether a name can stand in a header as it is.
-func sendable(name string) bool {
+// validHeaderValue reports whether a name, which must not be empty, can be a header value without escaping.
+func validHeaderValue(name string) bool {
 	if name[0] == ' ' || name[len(name)-1] == ' ' {
 		return false
 	}
@@ -129,14 +130,14 @@
 	return true
 }
 
-// Index finds customers by their keys. It does not change once made.
+// Index finds customers by key and by name. It is immutable.
 type Index struct {
 	keys  map[Digest]*Customer
 	names map[string]*Customer
 }
 
-// NewIndex checks customers and makes their index. The error joins a [Fault] for each
-// that is wrong: a version with one of them is not put in force at all.
+// NewIndex validates customers and returns their index. The error joins a [Fault] for each invalid one: a version
+// with any of them is rejected as a whole.
 func NewIndex(customers []Customer) (*Index, error) {
 	x := &Index{keys: make(map[Digest]*Customer), names: make(map[string]*Customer, len(customers))}
 	var faults []error
@@ -147,13 +148,13 @@
 			continue
 		}
 		if x.names[c.Name] != nil {
-			faults = append(faults, Fault{c.Name, "another customer has this name; name them apart"})
+			faults = append(faults, Fault{c.Name, "another customer has this name; use unique names"})
 			continue
 		}
 		x.names[c.Name] = c
 		for _, k := range c.Keys {
 			if other := x.keys[k]; other != nil && other != c {
-				faults = append(faults, Fault{c.Name, fmt.Sprintf("it names a key of customer %.40q; give each key to one customer", other.Name)})
+				faults = append(faults, Fault{c.Name, fmt.Sprintf("one of its keys also belongs to customer %.40q; assign each key to one customer", other.Name)})
 			}
 			x.keys[k] = c
 		}
@@ -164,8 +165,8 @@
 	return x, nil
 }
 
-// Holder returns the customer that holds a key, or nil. It does not allocate.
+// Holder returns the customer that a key belongs to, or nil. It does not allocate.
 func (x *Index) Holder(k Digest) *Customer { return x.keys[k] }
 
-// Named returns the customer of a name, or nil.
+// Named returns the customer with a name, or nil.
 func (x *Index) Named(name string) *Customer { return x.names[name] }
--- a/core/customer/customer_test.go
+++ b/core/customer/customer_test.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-// TestIndex checks who holds a key.
+// TestIndex checks which customer a key belongs to.
 func TestIndex(t *testing.T) {
 	x, err := NewIndex([]Customer{
 		{Name: "a", Keys: keys("k1", "k2", "k1")},
@@ -38,11 +38,11 @@
 		t.Errorf("holders (-want +got):\n%s", diff)
 	}
 	if x.Named("without keys") == nil || x.Named("c") != nil {
-		t.Error("Named does not find customers by their names")
+		t.Error("Named returns the wrong customer")
 	}
 }
 
-// TestFaults checks that customers that cannot be are refused by name.
+// TestFaults checks that invalid customers are rejected with an error that names them.
 func TestFaults(t *testing.T) {
 	tests := []struct {
 		name string
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestCost checks what a request counts.
+// TestCost checks the cost of requests.
 func TestCost(t *testing.T) {
 	tokens := Limit{Unit: Tokens, PlainTokens: 200}
 	tests := []struct {
@@ -92,7 +92,8 @@
 	}
 }
 
-// TestDigestText checks that digests pass between nodes, and nothing else does.
+// TestDigestText checks that digests survive encoding, as they are sent between nodes, and that malformed ones are
+// rejected.
 func TestDigestText(t *testing.T) {
 	want := DigestOf("key")
 	raw, err := json.Marshal(want)
@@ -105,12 +106,13 @@
 	}
 	for _, bad := range []string{`""`, `"zz"`, `"` + fmt.Sprintf("%064d", 0) + `"`} {
 		if err := json.Unmarshal([]byte(bad), &got); err == nil {
-			t.Errorf("%s was taken for a digest", bad)
+			t.Errorf("%s was accepted as a digest", bad)
 		}
 	}
 }
 
-// BenchmarkHolder looks the key of one of 100,000 up: 144 ns and no allocation measured, 200 ns asked for.
+// BenchmarkHolder looks up one of 100,000 keys. The requirement is 200 ns without an allocation; 144 ns were
+// measured.
 func BenchmarkHolder(b *testing.B) {
 	customers := make([]Customer, 1000)
 	for i := range customers {
--- a/core/customer/doc.go
+++ b/core/customer/doc.go
@@ -1,9 +1,7 @@
-// Package customer holds who may send requests, under which keys and within which
-// limits.
+// Package customer describes who may send requests, with which API keys and up to which limits.
 //
-// The problem: a request names its customer by a secret, which nothing behind the
-// node that admits it may see, and which operators take away while it is in use.
-// The model: a [Customer] is one entry of a configuration's version and knows its
-// keys by their [Digest] only; [NewIndex] checks all customers of a version
-// together and finds the one of a key.
+// A request identifies its customer by a secret key, which must not be visible beyond the node that admits the
+// request, and which operators may revoke while it is in use. A [Customer] is therefore one entry of a version of the
+// configuration and contains only the [Digest] of each of its keys. [NewIndex] validates all customers of a version
+// together and finds the customer of a key. It is used when a configuration is loaded and when requests are admitted.
 package customer
