--- a/core/quarantine/bounds.go
+++ b/core/quarantine/bounds.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Limits on memory and retention.
+// Limits on memory, retention times and delays.
 const (
 	// maxRecords bounds the number of records, and maxVerdicts those with a verdict. New suspects evict older
 	// suspects, never a verdict.
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -77,15 +77,15 @@
 
 // SetWhole sets whether the blames of all nodes arrive here. Elsewhere most suspects of a crash are unknown, so the
 // probability leads to no verdict there; only the number of crashes does.
-func (r *Registry) SetWhole(whole bool) {
-	if whole && !r.complete {
+func (r *Registry) SetWhole(complete bool) {
+	if complete && !r.complete {
 		for _, rec := range r.records {
 			if len(rec.suspicions) > 0 {
 				r.pending[rec] = true
 			}
 		}
 	}
-	r.complete = whole
+	r.complete = complete
 }
 
 // Version increases with each change.
@@ -105,7 +105,7 @@
 
 // Held notes that a request arrived. It returns whether the request is blocked, and the delay after which its caller
 // may retry.
-func (r *Registry) Held(f Fingerprint, now time.Time) (again time.Duration, held bool) {
+func (r *Registry) Held(f Fingerprint, now time.Time) (retryAfter time.Duration, blocked bool) {
 	rec := r.records[f]
 	if rec == nil {
 		return 0, false
--- a/core/quarantine/tracker.go
+++ b/core/quarantine/tracker.go
@@ -134,7 +134,7 @@
 
 // Break records that the connection broke before the answer was complete. If the engine is known to have just
 // crashed, it returns the blame for that crash and true.
-func (t *Tracker) Break(run *Run, now time.Time) (blame Blame, ended bool) {
+func (t *Tracker) Break(run *Run, now time.Time) (blame Blame, crashed bool) {
 	er := t.runsOf(run.incarnation, now)
 	run.stoppedAt, run.broke = now, true
 	if er.draining || t.wasGood(run.request, now) || er.crashedAt.IsZero() || now.Sub(er.crashedAt) > breakWindow || run.sentAt.After(er.crashedAt) {
@@ -219,9 +219,9 @@
 
 // Leaving records whether an engine's shutdown is planned or its entry is gone. Broken connections are then no sign
 // of a crash.
-func (t *Tracker) Leaving(l Life, leaving bool, now time.Time) {
-	if leaving || t.incarnations[l] != nil {
-		t.runsOf(l, now).draining = leaving
+func (t *Tracker) Leaving(l Life, draining bool, now time.Time) {
+	if draining || t.incarnations[l] != nil {
+		t.runsOf(l, now).draining = draining
 	}
 }
 
--- a/core/quarantine/turns.go
+++ b/core/quarantine/turns.go
@@ -28,9 +28,9 @@
 // NewTurns returns an empty set of run locks.
 func NewTurns() *Turns { return &Turns{locks: make(map[Fingerprint]runLock)} }
 
-// Take acquires the run lock of a request for a run, which by identifies. It returns 0 if it succeeded, and otherwise
+// Take acquires the run lock of a request for a run, which holder identifies. It returns 0 if it succeeded, and otherwise
 // the delay after which to retry.
-func (t *Turns) Take(f Fingerprint, by string, now time.Time) (after time.Duration) {
+func (t *Turns) Take(f Fingerprint, holder string, now time.Time) (retryAfter time.Duration) {
 	if left := t.locks[f].until.Sub(now); left > 0 {
 		return left
 	}
@@ -41,19 +41,19 @@
 		// With so many isolated requests, copies of this one may run concurrently.
 		return 0
 	}
-	t.locks[f] = runLock{holder: by, until: now.Add(runLockTTL)}
+	t.locks[f] = runLock{holder: holder, until: now.Add(runLockTTL)}
 	return 0
 }
 
-// Release releases a run lock; well is true if an engine answered the run.
-func (t *Turns) Release(f Fingerprint, by string, well bool, now time.Time) {
+// Release releases a run lock; answered is true if an engine answered the run.
+func (t *Turns) Release(f Fingerprint, holder string, answered bool, now time.Time) {
 	switch old, ok := t.locks[f]; {
-	case !ok || old.holder != by:
+	case !ok || old.holder != holder:
 		// The lock has expired, and another run may hold it.
-	case well:
+	case answered:
 		delete(t.locks, f)
 	default:
-		t.locks[f] = runLock{holder: by, until: now.Add(runLockCooldown)}
+		t.locks[f] = runLock{holder: holder, until: now.Add(runLockCooldown)}
 	}
 }
 
--- a/core/quota/bound.go
+++ b/core/quota/bound.go
@@ -43,12 +43,12 @@
 )
 
 // OfCold returns the bound on requests to a cold endpoint that accepts perSecond requests per second from all nodes
-// together. At least nodes nodes share the traffic.
-func (t ColdTolerance) OfCold(perSecond float64, nodes int) Bound {
+// together. At least minNodes nodes share the traffic.
+func (t ColdTolerance) OfCold(perSecond float64, minNodes int) Bound {
 	allowed := perSecond*max(1, t.Share) + t.Slack
 	return Bound{
 		Rate: min(perSecond, coldRate*allowed), Capacity: max(1, coldCapacity*allowed),
-		PartitionedRate: coldPartitionedRate * allowed, PartitionedBurst: coldPartitionedBurst * allowed, MinNodes: nodes,
+		PartitionedRate: coldPartitionedRate * allowed, PartitionedBurst: coldPartitionedBurst * allowed, MinNodes: minNodes,
 	}
 }
 
@@ -64,7 +64,7 @@
 )
 
 // OfEndpoint returns the bound on requests to an endpoint that accepts perSecond requests per second from all nodes
-// together. At least nodes nodes share the traffic.
-func OfEndpoint(perSecond float64, nodes int) Bound {
-	return Bound{Rate: perSecond, Capacity: endpointBaseCapacity + endpointBurstSeconds*perSecond, PartitionedRate: partitionedShare * perSecond, PartitionedBurst: partitionedShare, MinNodes: nodes}
+// together. At least minNodes nodes share the traffic.
+func OfEndpoint(perSecond float64, minNodes int) Bound {
+	return Bound{Rate: perSecond, Capacity: endpointBaseCapacity + endpointBurstSeconds*perSecond, PartitionedRate: partitionedShare * perSecond, PartitionedBurst: partitionedShare, MinNodes: minNodes}
 }
--- a/core/quota/endpoint_test.go
+++ b/core/quota/endpoint_test.go
@@ -13,21 +13,21 @@
 type simRule struct {
 	window       time.Duration
 	share, slack float64
-	// all is set if requests of recently disturbed nodes count too.
-	all bool
+	// includeDisturbed is set if requests of recently disturbed nodes count too.
+	includeDisturbed bool
 }
 
 // The rules for endpoints that announce a limit, and for cold endpoints.
 var (
 	limitRule = simRule{window: 4 * time.Second, share: 1.5, slack: 5}
-	coldRule  = simRule{window: time.Second, share: 1.5, slack: 5, all: true}
+	coldRule  = simRule{window: time.Second, share: 1.5, slack: 5, includeDisturbed: true}
 )
 
 const (
 	// simStep is the time step of the simulation.
 	simStep = 10 * time.Millisecond
-	// simReport is the longest interval between two reports of a node to the granter.
-	simReport = time.Second
+	// simReportInterval is the longest interval between two reports of a node to the granter.
+	simReportInterval = time.Second
 	// simTimeout is how long a node waits for the answer to a grant request.
 	simTimeout = 250 * time.Millisecond
 )
@@ -37,18 +37,18 @@
 	purse *Purse
 	// granter is set while the node has the granter's role.
 	granter *Granter
-	// holder is the index of the node that this node believes to be the granter.
-	holder int
-	shut   time.Time
-	// asked is when the pending grant request was sent, and answerAt when its answer or timeout comes; both zero if
-	// none is pending.
-	asked, answerAt time.Time
-	answer          *Answer
-	members         int
-	reportAt        time.Time
-	frozen          bool
-	// disturbedAt is when the node was last frozen, cut off or restarted; a rule without all ignores its requests for
-	// one window after that.
+	// granterIndex is the index of the node that this node believes to be the granter.
+	granterIndex int
+	blockedUntil time.Time
+	// requestedAt is when the pending grant request was sent, and answerAt when its answer or timeout comes; both
+	// zero if none is pending.
+	requestedAt, answerAt time.Time
+	answer                *Answer
+	members               int
+	reportAt              time.Time
+	frozen                bool
+	// disturbedAt is when the node was last frozen, cut off or restarted. Rules without includeDisturbed ignore its
+	// requests for one window after that.
 	disturbedAt time.Time
 	// island is the node's network partition: only nodes of the same island reach each other.
 	island int
@@ -64,10 +64,10 @@
 	rule  simRule
 	// sent holds the send times of the requests that the rule counts, within the last window; total counts all
 	// requests.
-	sent  []time.Time
-	total int
-	worst int
-	lives int
+	sent         []time.Time
+	total        int
+	maxInWindow  int
+	incarnations int
 	// inject injects a fault into a node before it acts; nil for none.
 	inject func(s *simDeployment, n *simNode)
 }
@@ -81,34 +81,34 @@
 		s.restart(i)
 		s.nodes[i].disturbedAt = time.Time{}
 	}
-	s.hold(0)
+	s.makeGranter(0)
 	return s
 }
 
-func (s *simDeployment) between(least, most time.Duration) time.Duration {
+func (s *simDeployment) randomBetween(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.r.Int64N(int64(most-least)))
 }
 
 // restart replaces a node's process by a new one.
 func (s *simDeployment) restart(i int) {
-	s.lives++
+	s.incarnations++
 	old := s.nodes[i]
-	*old = simNode{purse: NewPurse(strconv.Itoa(s.lives), Tolerance{}), holder: old.holder, island: old.island, disturbedAt: s.now, reportAt: s.now.Add(s.between(0, simReport))}
+	*old = simNode{purse: NewPurse(strconv.Itoa(s.incarnations), Tolerance{}), granterIndex: old.granterIndex, island: old.island, disturbedAt: s.now, reportAt: s.now.Add(s.randomBetween(0, simReportInterval))}
 }
 
-// hold makes a node the granter; all nodes of its island see that at once.
-func (s *simDeployment) hold(i int) {
+// makeGranter makes a node the granter; all nodes of its island see that at once.
+func (s *simDeployment) makeGranter(i int) {
 	n := s.nodes[i]
 	n.granter = NewGranter(Tolerance{}, len(s.nodes), s.now)
 	for _, m := range s.nodes {
 		if m.island == n.island {
-			m.holder = i
+			m.granterIndex = i
 		}
 	}
 }
 
-func (s *simDeployment) reaches(n *simNode) *Granter {
-	h := s.nodes[n.holder]
+func (s *simDeployment) reachableGranter(n *simNode) *Granter {
+	h := s.nodes[n.granterIndex]
 	if h.frozen || h.island != n.island {
 		return nil
 	}
@@ -130,7 +130,7 @@
 		for len(s.sent) > 0 && s.now.Sub(s.sent[0]) >= s.rule.window {
 			s.sent = s.sent[1:]
 		}
-		s.worst = max(s.worst, len(s.sent))
+		s.maxInWindow = max(s.maxInWindow, len(s.sent))
 	}
 }
 
@@ -139,15 +139,15 @@
 		s.inject(s, n)
 	}
 	name := strconv.Itoa(i)
-	if g := s.reaches(n); g != nil && !s.now.Before(n.reportAt) {
+	if g := s.reachableGranter(n); g != nil && !s.now.Before(n.reportAt) {
 		g.Heard(name, n.purse.Alone(), s.now)
-		n.reportAt = s.now.Add(s.between(simReport/4, simReport))
+		n.reportAt = s.now.Add(s.randomBetween(simReportInterval/4, simReportInterval))
 	}
-	if !n.asked.IsZero() {
-		s.await(n)
+	if !n.requestedAt.IsZero() {
+		s.receiveAnswer(n)
 		return
 	}
-	if s.now.Before(n.shut) {
+	if s.now.Before(n.blockedUntil) {
 		return
 	}
 	of := s.bound(len(s.nodes))
@@ -159,39 +159,39 @@
 	case n.purse.Alone() && s.now.UnixNano()%int64(200*time.Millisecond) == 0:
 		s.ask(name, n, of, 0)
 	default:
-		n.shut = s.now.Add(d.After)
+		n.blockedUntil = s.now.Add(d.After)
 	}
 }
 
 func (s *simDeployment) send(n *simNode) {
 	s.total++
-	if s.rule.all || s.now.Sub(n.disturbedAt) >= s.rule.window {
+	if s.rule.includeDisturbed || s.now.Sub(n.disturbedAt) >= s.rule.window {
 		s.sent = append(s.sent, s.now)
 	}
 }
 
 // ask sends a grant request; the answer arrives after a random round trip, or the request times out.
 func (s *simDeployment) ask(name string, n *simNode, of Bound, ahead float64) {
-	n.asked, n.answer, n.answerAt = s.now, nil, s.now.Add(simTimeout)
-	g := s.reaches(n)
+	n.requestedAt, n.answer, n.answerAt = s.now, nil, s.now.Add(simTimeout)
+	g := s.reachableGranter(n)
 	if g == nil {
 		return
 	}
 	g.Heard(name, false, s.now)
 	a := g.AskBound("e", of, 1, ahead, s.now)
-	n.answer, n.members, n.answerAt = &a, g.Members(s.now), s.now.Add(s.between(time.Millisecond, 60*time.Millisecond))
+	n.answer, n.members, n.answerAt = &a, g.Members(s.now), s.now.Add(s.randomBetween(time.Millisecond, 60*time.Millisecond))
 }
 
-func (s *simDeployment) await(n *simNode) {
+func (s *simDeployment) receiveAnswer(n *simNode) {
 	if s.now.Before(n.answerAt) {
 		return
 	}
-	asked := n.asked
-	n.asked = time.Time{}
+	asked := n.requestedAt
+	n.requestedAt = time.Time{}
 	switch {
 	case n.answer == nil:
 		n.purse.Lost(asked, s.now)
-	case n.answer.Granted > 0 && s.rule.all && s.now.Sub(asked) > GrantLife:
+	case n.answer.Granted > 0 && s.rule.includeDisturbed && s.now.Sub(asked) > GrantLife:
 		n.purse.Heard(asked, n.members)
 	case n.answer.Granted > 0:
 		n.purse.Heard(asked, n.members)
@@ -200,7 +200,7 @@
 	default:
 		n.purse.Heard(asked, n.members)
 		n.purse.Refused("e", 1, n.answer.After, s.now)
-		n.shut = s.now.Add(n.answer.After)
+		n.blockedUntil = s.now.Add(n.answer.After)
 	}
 }
 
@@ -214,7 +214,7 @@
 	for range 30 {
 		switch i := s.r.IntN(len(s.nodes)); s.r.IntN(6) {
 		case 0:
-			s.hold(i)
+			s.makeGranter(i)
 		case 1:
 			s.restart(i)
 		case 2:
@@ -225,7 +225,7 @@
 			for _, n := range s.nodes {
 				n.island = 0
 			}
-			s.hold(i)
+			s.makeGranter(i)
 		case 4:
 			s.nodes[i].frozen = true
 		case 5:
@@ -233,7 +233,7 @@
 				n.frozen = false
 			}
 		}
-		s.run(s.between(100*time.Millisecond, 4*time.Second))
+		s.run(s.randomBetween(100*time.Millisecond, 4*time.Second))
 	}
 }
 
@@ -247,8 +247,8 @@
 					t.Parallel()
 					s := newSimDeployment(nodes, limit, seed)
 					injectFaults(s)
-					if float64(s.worst) > s.allowed() {
-						t.Errorf("%d requests in %v, %.1f allowed", s.worst, s.rule.window, s.allowed())
+					if float64(s.maxInWindow) > s.allowed() {
+						t.Errorf("%d requests in %v, %.1f allowed", s.maxInWindow, s.rule.window, s.allowed())
 					}
 				})
 			}
@@ -272,8 +272,8 @@
 	}
 }
 
-// TestLimitFaultsFound checks that the simulation detects injected faults.
-func TestLimitFaultsFound(t *testing.T) {
+// TestLimitDetectsFaults checks that the simulation detects injected faults.
+func TestLimitDetectsFaults(t *testing.T) {
 	faults := []struct {
 		name   string
 		inject func(s *simDeployment, n *simNode)
@@ -305,7 +305,7 @@
 				s := newSimDeployment(7, 1, seed)
 				s.inject, s.bound = f.inject, func(nodes int) Bound { return f.bound(1, nodes) }
 				injectFaults(s)
-				if float64(s.worst) > s.allowed() {
+				if float64(s.maxInWindow) > s.allowed() {
 					return
 				}
 			}
@@ -333,8 +333,8 @@
 					t.Parallel()
 					s := newColdDeployment(nodes, perSecond, seed)
 					injectFaults(s)
-					if float64(s.worst) > s.allowed() {
-						t.Errorf("%d requests in %v, %.1f allowed", s.worst, s.rule.window, s.allowed())
+					if float64(s.maxInWindow) > s.allowed() {
+						t.Errorf("%d requests in %v, %.1f allowed", s.maxInWindow, s.rule.window, s.allowed())
 					}
 				})
 			}
@@ -342,8 +342,8 @@
 	}
 }
 
-// TestColdFaultsFound checks that the simulation of cold endpoints detects injected faults.
-func TestColdFaultsFound(t *testing.T) {
+// TestColdLimitDetectsFaults checks that the simulation of cold endpoints detects injected faults.
+func TestColdLimitDetectsFaults(t *testing.T) {
 	faults := []struct {
 		name  string
 		bound func(b Bound, nodes int) Bound
@@ -362,7 +362,7 @@
 				of := s.bound
 				s.bound = func(nodes int) Bound { return f.bound(of(nodes), nodes) }
 				injectFaults(s)
-				if float64(s.worst) > s.allowed() {
+				if float64(s.maxInWindow) > s.allowed() {
 					return
 				}
 			}
--- a/core/quota/granter.go
+++ b/core/quota/granter.go
@@ -49,8 +49,8 @@
 	return l.Burst*(1+burstShare*t.Share) + burstSlack*t.Slack
 }
 
-// Granter grants units to all nodes that ask it, from one token bucket per customer or endpoint. One node at a time
-// is meant to have one. It is not safe for concurrent use.
+// Granter grants units to the nodes that ask it, from one token bucket per customer or endpoint. Normally one node of
+// a deployment runs the granter. It is not safe for concurrent use.
 type Granter struct {
 	tolerance Tolerance
 	// seenAt is when each node's latest message came, and attachedAt when its latest message came that did not report
--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -11,8 +11,8 @@
 
 // Durations that a purse uses.
 const (
-	// creditTTL is how long a node may hold granted units. Units spent later than granted add up to this much of the
-	// rate to what is counted in a window.
+	// creditTTL is how long a node may hold granted units. They are spent up to this much later than they are granted, so a
+	// window of time may also contain units that were granted up to this long before it.
 	creditTTL = 200 * time.Millisecond
 	// prefetchWindow is the time for which a node requests units in advance, by its own usage, so that many requests
 	// of one customer at one node cost only a few grant requests per second.
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -15,9 +15,9 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// TestBeginsEmpty guards against a new granter that starts with full buckets: it may grant only what the rate brought
+// TestStartsEmpty guards against a new granter that starts with full buckets: it may grant only what the rate brought
 // since its start.
-func TestBeginsEmpty(t *testing.T) {
+func TestStartsEmpty(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 100}
 	g := NewGranter(Tolerance{}, 0, start)
 	g.Heard("a", false, start)
@@ -29,9 +29,9 @@
 	}
 }
 
-// TestReturnInOrder guards against refused requests that are told the same retry time: all but one would be refused
+// TestRetriesInOrder guards against refused requests that are told the same retry time: all but one would be refused
 // again.
-func TestReturnInOrder(t *testing.T) {
+func TestRetriesInOrder(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 10}
 	g := NewGranter(Tolerance{}, 0, start)
 	g.Heard("a", false, start)
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestParts checks that a granter spends the shares of the nodes that contact it, and not those of nodes that are
+// TestShares checks that a granter spends the shares of the nodes that contact it, and not those of nodes that are
 // partitioned, silent, or only known to exist.
-func TestParts(t *testing.T) {
+func TestShares(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 1000}
 	tests := []struct {
 		name    string
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestNeverMoreThanABucket checks a granter against the definition of a token bucket: in any span of time it grants
-// at most the rate times the span, the burst, and one request.
-func TestNeverMoreThanABucket(t *testing.T) {
+// TestTokenBucketBound checks a granter against the definition of a token bucket: in any span of time it grants at
+// most the rate times the span, the burst, and one request.
+func TestTokenBucketBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := customer.Limit{Rate: float64(rapid.IntRange(1, 200).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 300).Draw(t, "burst"))}
 		g, now := NewGranter(Tolerance{}, rapid.IntRange(0, 3).Draw(t, "least"), start), start
@@ -221,9 +221,9 @@
 	}
 }
 
-// TestDrawsAreFair checks that nodes whose shares are far smaller than one request together admit as much as the sum
-// of their shares.
-func TestDrawsAreFair(t *testing.T) {
+// TestPartitionedSharesAddUp checks that nodes whose shares are far smaller than one request together admit as much
+// as the sum of their shares.
+func TestPartitionedSharesAddUp(t *testing.T) {
 	const nodes, need = 400, 1100.0
 	l := customer.Limit{Rate: 22000, Burst: 22000}
 	passed := 0.0
@@ -243,9 +243,9 @@
 	}
 }
 
-// TestRefusalHasAMoment guards against a refusal with a retry delay of 0: at a rate of 200, a third of it attached,
+// TestRetryDelayPositive guards against a refusal with a retry delay of 0: at a rate of 200, a third of it attached,
 // 30 ms work off a deficit of 2 except for a rounding error of 4e-16, which was truncated to "after 0s".
-func TestRefusalHasAMoment(t *testing.T) {
+func TestRetryDelayPositive(t *testing.T) {
 	l := customer.Limit{Rate: 200}
 	g := NewGranter(Tolerance{}, 0, start)
 	g.Heard("a", true, start)
--- a/internal/isolation/guard.go
+++ b/internal/isolation/guard.go
@@ -100,12 +100,12 @@
 // Held returns an error if a request is blocked now, and nil otherwise.
 func (g *Guard) Held(f quarantine.Fingerprint) error {
 	g.mu.Lock()
-	again, held := g.registry.Held(f, g.o.Clock.Now())
-	doubtful := !held && g.registry.Doubtful(f)
+	retryAfter, blocked := g.registry.Held(f, g.o.Clock.Now())
+	doubtful := !blocked && g.registry.Doubtful(f)
 	g.mu.Unlock()
 	switch {
-	case held:
-		return refusal.New(refusal.Quarantined, "engines crashed while they ran request %s; retry later, or have an operator release it", f).After(again)
+	case blocked:
+		return refusal.New(refusal.Quarantined, "engines crashed while they ran request %s; retry later, or have an operator release it", f).After(retryAfter)
 	case doubtful && !g.o.Fresh():
 		return refusal.New(refusal.Quarantined, "engines crashed while they ran request %s, and the entries of other nodes are out of date; retry", f).After(staleRetryAfter)
 	}
@@ -205,11 +205,11 @@
 
 // Seen records an engine's published entry, and whether it is draining. A later start time than before means that the
 // former incarnation has crashed.
-func (g *Guard) Seen(incarnation quarantine.Life, leaving bool) {
+func (g *Guard) Seen(incarnation quarantine.Life, draining bool) {
 	g.mu.Lock()
 	former, known := g.startTimes[incarnation.Engine]
 	g.startTimes[incarnation.Engine] = incarnation.Start
-	g.tracker.Leaving(incarnation, leaving, g.o.Clock.Now())
+	g.tracker.Leaving(incarnation, draining, g.o.Clock.Now())
 	g.mu.Unlock()
 	if known && former != 0 && incarnation.Start > former {
 		g.recordCrash(quarantine.Life{Engine: incarnation.Engine, Start: former}, g.tracker.Restart)
@@ -232,10 +232,10 @@
 }
 
 // SetWhole sets whether the blames of all nodes arrive here.
-func (g *Guard) SetWhole(whole bool) {
+func (g *Guard) SetWhole(complete bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.registry.SetWhole(whole)
+	g.registry.SetWhole(complete)
 }
 
 // Judge evaluates the crashes whose suspects are all known by now. It must be called several times per second.
--- a/internal/isolation/run.go
+++ b/internal/isolation/run.go
@@ -102,7 +102,7 @@
 }
 
 // Broke records that the connection broke, probes the engine, and reports whether it is known to have crashed.
-func (r *Run) Broke(ctx context.Context) (ended bool) {
+func (r *Run) Broke(ctx context.Context) (crashed bool) {
 	if r.finished {
 		return false
 	}
--- a/internal/isolation/turn.go
+++ b/internal/isolation/turn.go
@@ -15,8 +15,8 @@
 	lockRetryInterval = 50 * time.Millisecond
 	// lockTimeout is how long a copy waits for its run lock while it occupies a slot at an engine.
 	lockTimeout = 500 * time.Millisecond
-	// lockRetryAfter is the least retry delay after that.
-	lockRetryAfter = time.Second
+	// minRetryAfter is the least retry delay of a copy that did not get its run lock in time.
+	minRetryAfter = time.Second
 )
 
 // TurnTaker provides run locks that are shared by all nodes, so that copies of an isolated request run one after the
@@ -24,15 +24,15 @@
 type TurnTaker interface {
 	// TakeTurn acquires the run lock of a request for a run. It returns 0 if it succeeded, and otherwise the delay
 	// after which to retry.
-	TakeTurn(ctx context.Context, f quarantine.Fingerprint, run string) (after time.Duration)
-	// ReleaseTurn releases the lock; well is true if an engine answered the run.
-	ReleaseTurn(f quarantine.Fingerprint, run string, well bool)
+	TakeTurn(ctx context.Context, f quarantine.Fingerprint, run string) (retryAfter time.Duration)
+	// ReleaseTurn releases the lock; answered is true if an engine answered the run.
+	ReleaseTurn(f quarantine.Fingerprint, run string, answered bool)
 }
 
 // Turn waits until a copy of a request may run; a request that is not isolated does not wait. The returned function
 // must be called when the run is over. The error is a refusal if the request is blocked or the lock is not free
 // within lockTimeout, or the context's error.
-func (g *Guard) Turn(ctx context.Context, f quarantine.Fingerprint) (release func(well bool), err error) {
+func (g *Guard) Turn(ctx context.Context, f quarantine.Fingerprint) (release func(answered bool), err error) {
 	run := strconv.FormatInt(g.runSeq.Add(1), 10)
 	until := g.o.Clock.Now().Add(lockTimeout)
 	for {
@@ -42,15 +42,15 @@
 		if g.State(f) != quarantine.Isolated {
 			return func(bool) {}, nil
 		}
-		after := g.acquireLock(ctx, f, run)
-		if after <= 0 {
-			return func(well bool) { g.releaseLock(f, run, well) }, nil
+		retryAfter := g.acquireLock(ctx, f, run)
+		if retryAfter <= 0 {
+			return func(answered bool) { g.releaseLock(f, run, answered) }, nil
 		}
-		if !g.o.Clock.Now().Add(min(after, lockRetryInterval)).Before(until) {
-			return nil, refusal.New(refusal.Quarantined, "engines crashed while they ran request %s, and another copy of it is running; retry", f).After(max(lockRetryAfter, after))
+		if !g.o.Clock.Now().Add(min(retryAfter, lockRetryInterval)).Before(until) {
+			return nil, refusal.New(refusal.Quarantined, "engines crashed while they ran request %s, and another copy of it is running; retry", f).After(max(minRetryAfter, retryAfter))
 		}
 		select {
-		case <-g.o.Clock.After(min(after, lockRetryInterval)):
+		case <-g.o.Clock.After(min(retryAfter, lockRetryInterval)):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -58,28 +58,28 @@
 }
 
 // acquireLock takes the node's own lock first, so that only one of its copies asks the other nodes.
-func (g *Guard) acquireLock(ctx context.Context, f quarantine.Fingerprint, run string) (after time.Duration) {
+func (g *Guard) acquireLock(ctx context.Context, f quarantine.Fingerprint, run string) (retryAfter time.Duration) {
 	g.mu.Lock()
-	after = g.locks.Take(f, run, g.o.Clock.Now())
+	retryAfter = g.locks.Take(f, run, g.o.Clock.Now())
 	g.mu.Unlock()
-	if after > 0 || g.o.Turns == nil {
-		return after
+	if retryAfter > 0 || g.o.Turns == nil {
+		return retryAfter
 	}
-	if after = g.o.Turns.TakeTurn(ctx, f, run); after > 0 {
+	if retryAfter = g.o.Turns.TakeTurn(ctx, f, run); retryAfter > 0 {
 		g.releaseLocal(f, run, true)
 	}
-	return after
+	return retryAfter
 }
 
-func (g *Guard) releaseLock(f quarantine.Fingerprint, run string, well bool) {
-	g.releaseLocal(f, run, well)
+func (g *Guard) releaseLock(f quarantine.Fingerprint, run string, answered bool) {
+	g.releaseLocal(f, run, answered)
 	if g.o.Turns != nil {
-		g.o.Turns.ReleaseTurn(f, run, well)
+		g.o.Turns.ReleaseTurn(f, run, answered)
 	}
 }
 
-func (g *Guard) releaseLocal(f quarantine.Fingerprint, run string, well bool) {
+func (g *Guard) releaseLocal(f quarantine.Fingerprint, run string, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.locks.Release(f, run, well, g.o.Clock.Now())
+	g.locks.Release(f, run, answered, g.o.Clock.Now())
 }
