--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -6,134 +6,134 @@
 	"time"
 )
 
-// Instance is one life of an endpoint, as it describes itself.
+// Instance describes one incarnation of an endpoint, as the endpoint published it.
 type Instance struct {
-	// ID names the endpoint; after a crash it may start again under it.
+	// ID is the endpoint's name. It stays the same when the endpoint restarts after a crash.
 	ID string
-	// Start tells its lives apart.
+	// Start identifies the incarnation.
 	Start   Start
 	Service string
 	Address string
 	Hall    string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the endpoint processes concurrently.
 	Slots int
-	// Draining endpoints take no new work.
+	// Draining is true if the endpoint takes no new work.
 	Draining bool
-	// Remaining is the time to the endpoint's end where one was announced.
+	// Remaining is the time until the endpoint shuts down; 0 if no shutdown was announced.
 	Remaining time.Duration
-	// Cold is for how long the endpoint takes few requests, as of when the entry was read here.
+	// Cold is how much longer the endpoint takes a reduced request rate, counted from when this node read the entry.
 	Cold time.Duration `json:",omitempty"`
-	// Holdings are what an engine has loaded and what copies it keeps.
+	// Holdings are the models that an engine has loaded and the copies that it keeps.
 	Holdings
 }
 
-// Holdings are what an engine said it holds.
+// Holdings are the models that an engine published as loaded or kept.
 type Holdings struct {
 	Models []Held
-	// Warm and OnDisk name the models of which the engine keeps copies.
+	// Warm and OnDisk are the names of the models of which the engine keeps a copy in memory or on disk.
 	Warm, OnDisk []string
 }
 
-// Held is a loaded model with its loaded adapters.
+// Held is a loaded model and its loaded adapters.
 type Held struct {
 	Model    string
 	Adapters []string
 }
 
-// Record is one record of the list of endpoints.
+// Record is one change of the list of endpoints: an entry, or the deletion of one.
 type Record struct {
 	ID string
-	// Version orders the records of the list: 1 + the offset in the store; 0 where
-	// it is not known. A relayed record that says that an entry is gone has the
-	// version up to which the list was read.
+	// Version orders the records of the list: 1 + the offset in the store; 0 if it is unknown. A relayed
+	// deletion has the version up to which the relaying node has read the list.
 	Version uint64
-	// Instance is nil when the entry is gone.
+	// Instance is nil if the entry was deleted.
 	Instance *Instance
-	// Relayed records come from another node and do not tell the holdings.
+	// Relayed is true if the record comes from another node. Such a record contains no holdings.
 	Relayed bool
-	// Since is the version since which the entry has been there without a gap, as far as the node knows that
-	// tells it; 0 where it is not told.
+	// Since is the version since which the entry has existed without interruption, as far as the node that
+	// sent the record knows; 0 if it is not stated.
 	Since uint64 `json:",omitempty"`
 }
 
-// Change says what a record changed.
+// Change is the kind of change that a record made.
 type Change uint8
 
-// The changes.
+// Kinds of change.
 const (
-	// Unchanged: a heartbeat.
+	// Unchanged means that the record was a heartbeat, or obsolete.
 	Unchanged Change = iota
-	// Holding: only what an engine holds.
+	// Holding means that only the engine's holdings changed.
 	Holding
-	// Place: whether or where the endpoint is, or takes work.
+	// Place means that the endpoint appeared, vanished, moved, or changed its capacity or whether it takes work.
 	Place
 )
 
-// Entry is an instance with what this node knows of its entry.
+// Entry is an instance with the state that this node keeps about it. A gone entry is a tombstone.
 type Entry struct {
 	Instance
-	// Version is that of the latest record; older ones change nothing.
+	// Version is the version of the latest record; records with lower versions are ignored.
 	Version uint64
-	// GoneAt is when the entry is to be believed gone; zero while it is there.
+	// GoneAt is when the entry counts as gone, possibly in the future; zero while it exists.
 	GoneAt time.Time
-	// ColdUntil is until when the endpoint takes few requests; a past time where it is warm.
+	// ColdUntil is until when the endpoint takes a reduced request rate; a time in the past if it is warm.
 	ColdUntil time.Time
-	// HoldingsKnown is true where the entry itself listed what its engine holds: relayed records do not.
+	// HoldingsKnown is true if the holdings come from the entry itself; relayed records contain none.
 	HoldingsKnown bool
-	// Since is as in Record.
+	// Since is the same as [Record.Since].
 	Since uint64
 }
 
-// lapseGrace is how long a live endpoint may take to record itself anew once
-// the store is back; the platform states about two seconds.
-const lapseGrace = 2500 * time.Millisecond
+// registerGrace is how long a running endpoint may take to register again once the store is reachable.
+// The platform states about two seconds.
+const registerGrace = 2500 * time.Millisecond
 
-// Directory is the list. It is not safe for concurrent use.
+// Directory is the list of endpoints of one node. It is not safe for concurrent use.
 type Directory struct {
 	entries map[string]*Entry
-	// there counts the entries that are not gone, and told those of them that tell their start.
-	there, told int
-	// leaving holds the entries that are gone, or will be believed so.
-	leaving map[string]*Entry
-	// trustAt is when a vanished entry may be believed gone.
-	trustAt time.Time
+	// present counts the entries that are not gone; withStart counts those of them with a start.
+	present, withStart int
+	// tombstones holds the entries that are gone or scheduled to be, by id.
+	tombstones map[string]*Entry
+	// deletionsValidAt is the earliest time at which a deleted entry may count as gone.
+	deletionsValidAt time.Time
 }
 
 // New returns an empty directory.
 func New() *Directory {
-	return &Directory{entries: make(map[string]*Entry), leaving: make(map[string]*Entry)}
+	return &Directory{entries: make(map[string]*Entry), tombstones: make(map[string]*Entry)}
 }
 
-// count counts an entry in, or out with a negative sign.
+// count updates the counters for one entry: by +1 to include it, by -1 to exclude it.
 func (d *Directory) count(e *Entry, sign int) {
 	if !e.GoneAt.IsZero() {
 		return
 	}
-	d.there += sign
+	d.present += sign
 	if e.Start != 0 {
-		d.told += sign
+		d.withStart += sign
 	}
 }
 
-// settle files an entry that has changed, which was counted out before.
-func (d *Directory) settle(e *Entry) {
+// reindex includes a changed entry in the counters again and updates the set of gone entries. The entry was
+// excluded by count before the change.
+func (d *Directory) reindex(e *Entry) {
 	d.count(e, 1)
 	if e.GoneAt.IsZero() {
-		delete(d.leaving, e.ID)
+		delete(d.tombstones, e.ID)
 		return
 	}
-	d.leaving[e.ID] = e
+	d.tombstones[e.ID] = e
 }
 
-// StoreAway notes that the store did not answer just now.
-func (d *Directory) StoreAway(now time.Time) { d.trustAt = now.Add(lapseGrace) }
+// StoreAway records that the store did not answer now: deletions count only after registerGrace.
+func (d *Directory) StoreAway(now time.Time) { d.deletionsValidAt = now.Add(registerGrace) }
 
-// Apply folds one record in and says what changed.
+// Apply applies one record and returns what changed.
 func (d *Directory) Apply(r Record, now time.Time) Change {
 	e := d.entries[r.ID]
 	switch {
 	case e == nil && r.Instance == nil:
-		// Remembered, so that an older record does not bring it.
+		// Keep a tombstone, so that an older record does not add the entry.
 		d.add(&Entry{Instance: Instance{ID: r.ID}, Version: r.Version, GoneAt: now})
 		return Unchanged
 	case e == nil:
@@ -146,17 +146,17 @@
 	}
 	e.Version = r.Version
 	if r.Instance == nil {
-		return d.vanish(e, now)
+		return d.markGone(e, now)
 	}
 	d.count(e, -1)
-	defer d.settle(e)
+	defer d.reindex(e)
 	next := *r.Instance
 	next.ID = r.ID
-	again := next.Start.Newer(e.Start)
+	restarted := next.Start.Newer(e.Start)
 	switch {
 	case !r.Relayed:
 		e.HoldingsKnown = true
-	case again:
+	case restarted:
 		e.HoldingsKnown = false
 	default:
 		next.Holdings = e.Holdings
@@ -165,17 +165,17 @@
 	if !e.GoneAt.IsZero() {
 		change, e.Since = Place, r.Version
 	}
-	// An endpoint that leaves does not come back in the same life; one that started again has
-	// said nothing yet.
-	next.Draining = next.Draining || e.Draining && !again
-	if change == Unchanged && cools(e.ColdUntil, coldUntil(&next, now)) {
+	// A draining endpoint stays draining until it restarts, even if an older record arrives late. A
+	// new incarnation has not announced a shutdown yet.
+	next.Draining = next.Draining || e.Draining && !restarted
+	if change == Unchanged && coldPhaseChanged(e.ColdUntil, coldUntil(&next, now)) {
 		change = Place
 	}
 	e.Instance, e.GoneAt, e.ColdUntil = next, time.Time{}, coldUntil(&next, now)
 	return change
 }
 
-// coldUntil returns until when an endpoint is cold whose entry is read at a moment.
+// coldUntil returns until when an endpoint is cold whose entry was read at now; zero if it is warm.
 func coldUntil(in *Instance, now time.Time) time.Time {
 	if in.Cold <= 0 {
 		return time.Time{}
@@ -183,23 +183,23 @@
 	return now.Add(in.Cold)
 }
 
-// coldNews is by how much the end of an endpoint's cold time must move to be news: entries tell it in whole
-// heartbeats.
-const coldNews = 500 * time.Millisecond
+// minColdChange is the least change of the end of an endpoint's cold phase that counts as a change: entries
+// state it only to whole heartbeats.
+const minColdChange = 500 * time.Millisecond
 
-// cools reports whether a change of the end of an endpoint's cold time is news.
-func cools(old, next time.Time) bool {
-	return next.Sub(old) > coldNews || next.IsZero() && !old.IsZero()
+// coldPhaseChanged reports whether the end of an endpoint's cold phase changed: it moved later, or the phase was cancelled.
+func coldPhaseChanged(old, next time.Time) bool {
+	return next.Sub(old) > minColdChange || next.IsZero() && !old.IsZero()
 }
 
-// add files an entry that is new here.
+// add inserts a new entry.
 func (d *Directory) add(e *Entry) {
 	d.entries[e.ID] = e
-	d.settle(e)
+	d.reindex(e)
 }
 
-// newerThan reports whether the entry is of a later record than r. An entry that is
-// gone stays so by the record that said it.
+// newerThan reports whether the entry is the result of a later record than r. A record of the same version
+// does not undo a deletion.
 func (e *Entry) newerThan(r Record) bool {
 	switch {
 	case r.Version == 0:
@@ -210,8 +210,8 @@
 	return r.Version < e.Version
 }
 
-// Replace takes a whole list over that was read up to a version: what is not on it,
-// and was not recorded later, has vanished. It calls note for each change.
+// Replace applies a complete list that was read up to a version, 0 if that is unknown. Entries that are
+// not on the list and have no later version are deleted. It calls note for each change.
 func (d *Directory) Replace(list []Record, upTo uint64, now time.Time, note func(Record, Change)) {
 	listed := make(map[string]bool, len(list))
 	for _, r := range list {
@@ -225,26 +225,26 @@
 			continue
 		}
 		e.Version = upTo
-		if change := d.vanish(e, now); change != Unchanged {
+		if change := d.markGone(e, now); change != Unchanged {
 			note(Record{ID: id, Version: upTo}, change)
 		}
 	}
 }
 
-func (d *Directory) vanish(e *Entry, now time.Time) Change {
+func (d *Directory) markGone(e *Entry, now time.Time) Change {
 	if e == nil || !e.GoneAt.IsZero() {
 		return Unchanged
 	}
 	d.count(e, -1)
-	defer d.settle(e)
+	defer d.reindex(e)
 	e.GoneAt = now
-	if d.trustAt.After(now) {
-		e.GoneAt = d.trustAt
+	if d.deletionsValidAt.After(now) {
+		e.GoneAt = d.deletionsValidAt
 	}
 	return Place
 }
 
-// Drain notes that an endpoint said itself that it leaves.
+// Drain records that an endpoint announced its shutdown. It reports whether that changed its entry.
 func (d *Directory) Drain(id string) bool {
 	e := d.entries[id]
 	if e == nil || e.Draining {
@@ -254,38 +254,38 @@
 	return true
 }
 
-// DrainLife notes that a life of an endpoint said itself that it leaves; one that is not on the list is passed over.
+// DrainLife is like Drain for one incarnation of an endpoint. It does nothing if that one is not on the list.
 func (d *Directory) DrainLife(id string, start Start) bool {
 	e := d.entries[id]
 	return e != nil && e.Start == start && e.GoneAt.IsZero() && d.Drain(id)
 }
 
-// forgetAfter is how long an entry that is gone is remembered, so that a late
-// record of it does not bring it back unnoticed.
-const forgetAfter = time.Minute
+// tombstoneTTL is how long the tombstone of a gone entry is kept, so that a record that arrives late does
+// not restore the entry.
+const tombstoneTTL = time.Minute
 
-// Live returns the entries that are not gone, ordered by id; draining ones too.
+// Live returns the entries that are not gone, draining ones included, ordered by id. It removes expired tombstones.
 func (d *Directory) Live(now time.Time) []*Entry {
 	out := make([]*Entry, 0, len(d.entries))
 	for id, e := range d.entries {
 		switch {
 		case d.live(e, now):
 			out = append(out, e)
-		case !e.GoneAt.IsZero() && now.Sub(e.GoneAt) > forgetAfter:
+		case !e.GoneAt.IsZero() && now.Sub(e.GoneAt) > tombstoneTTL:
 			delete(d.entries, id)
-			delete(d.leaving, id)
+			delete(d.tombstones, id)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
 }
 
-// TellStarts reports whether endpoints here tell their starts: most entries do. Then an entry
-// without one is not of an endpoint. One entry alone does not decide it: another writer's
-// would take all endpoints away where none of them tells its start.
-func (d *Directory) TellStarts() bool { return 2*d.told > d.there }
+// TellStarts reports whether endpoints here publish their starts, which holds if most entries have one. An
+// entry without a start is then not an endpoint's. One entry with a start is not enough: if it were, a
+// foreign entry with a start would hide all endpoints where none publishes a start.
+func (d *Directory) TellStarts() bool { return 2*d.withStart > d.present }
 
-// live reports whether an entry is of an endpoint that is not gone.
+// live reports whether an entry is an endpoint's and not gone.
 func (d *Directory) live(e *Entry, now time.Time) bool {
 	if e.GoneAt.IsZero() {
 		return e.Start != 0 || !d.TellStarts()
@@ -293,7 +293,7 @@
 	return now.Before(e.GoneAt)
 }
 
-// Find returns the entry of an endpoint that is not gone, or nil.
+// Find returns the entry of a live endpoint, or nil.
 func (d *Directory) Find(id string, now time.Time) *Entry {
 	if e := d.entries[id]; e != nil && d.live(e, now) {
 		return e
@@ -301,16 +301,16 @@
 	return nil
 }
 
-// Leaving returns the ids of the entries that are gone, or will be believed so, in no order.
+// Leaving returns the ids of the entries that are gone or scheduled to be, in no particular order.
 func (d *Directory) Leaving() []string {
-	out := make([]string, 0, len(d.leaving))
-	for id := range d.leaving {
+	out := make([]string, 0, len(d.tombstones))
+	for id := range d.tombstones {
 		out = append(out, id)
 	}
 	return out
 }
 
-// Records returns the live entries as records to be relayed, ordered by id.
+// Records returns the live entries as records for other nodes, without holdings, ordered by id.
 func (d *Directory) Records(now time.Time) []Record {
 	live := d.Live(now)
 	out := make([]Record, 0, len(live))
@@ -332,7 +332,7 @@
 	return Unchanged
 }
 
-// SamePlace reports whether two entries are equal but for what an engine holds.
+// SamePlace reports whether two instances are equal apart from their holdings.
 func SamePlace(a, b *Instance) bool {
 	return a.Start == b.Start && a.Service == b.Service && a.Address == b.Address && a.Hall == b.Hall && a.Slots == b.Slots &&
 		a.Draining == b.Draining && a.Remaining == b.Remaining
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -9,14 +9,14 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at returns a moment some milliseconds after the start.
+// at returns the time ms milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func there(id string) Record {
 	return Record{ID: id, Instance: &Instance{ID: id, Service: "s", Address: "a:1"}}
 }
 
-// version gives a record its place on the list.
+// version returns r with version v.
 func version(v uint64, r Record) Record {
 	r.Version = v
 	return r
@@ -26,13 +26,13 @@
 	return Record{ID: id, Instance: &Instance{ID: id, Service: "s", Address: "a:1", Draining: true}}
 }
 
-// TestLive checks which endpoints are believed in, and which may get work.
+// TestLive checks which endpoints count as live, and which of them take new work.
 func TestLive(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(d *Directory)
 		now  time.Time
-		// want holds the live ids; a minus marks one that takes no new work.
+		// want lists the live ids; a trailing minus marks a draining endpoint.
 		want []string
 	}{
 		{"recorded", func(d *Directory) { d.Apply(there("a"), at(0)) }, at(9000), []string{"a"}},
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestRelayed checks that a record of another node keeps what is known of the
-// holdings.
+// TestRelayed checks that a relayed record, which contains no holdings, does not clear the holdings
+// known from the entry itself.
 func TestRelayed(t *testing.T) {
 	d := New()
 	whole := there("a")
@@ -129,7 +129,7 @@
 	}
 }
 
-// TestApplyReportsChanges checks that a heartbeat alone is no news.
+// TestApplyReportsChanges checks that Apply reports no change for a heartbeat or a repeated deletion.
 func TestApplyReportsChanges(t *testing.T) {
 	d := New()
 	got := []Change{d.Apply(there("a"), at(0)), d.Apply(there("a"), at(1)), d.Apply(leaving("a"), at(2)), d.Apply(Record{ID: "a"}, at(3)), d.Apply(Record{ID: "a"}, at(4))}
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestStartsAgain checks what a new start of an endpoint under its id ends.
-func TestStartsAgain(t *testing.T) {
+// TestRestart checks which state of an endpoint is dropped when it restarts under the same id.
+func TestRestart(t *testing.T) {
 	started := func(s Start, r Record) Record {
 		r.Instance.Start = s
 		return r
@@ -172,9 +172,9 @@
 	}
 }
 
-// TestOthersEntries checks that an entry without a start is no endpoint's where endpoints
-// tell theirs, in whatever order they come.
-func TestOthersEntries(t *testing.T) {
+// TestForeignEntries checks that entries without a start are ignored if endpoints publish their starts,
+// in whatever order the entries arrive.
+func TestForeignEntries(t *testing.T) {
 	started := func(id string) Record {
 		r := there(id)
 		r.Instance.Start = 5
--- a/core/directory/doc.go
+++ b/core/directory/doc.go
@@ -1,9 +1,11 @@
-// Package directory holds which endpoints there are, as far as this node knows.
+// Package directory keeps the list of endpoints that are live, as far as this node knows.
 //
-// The problem: endpoints record themselves in the platform's store. An entry may
-// be late, may go because its endpoint left, or may lapse because the store was
-// away while the endpoint lives; an address may pass to an endpoint of another
-// service. The model: [Directory] folds the records in order. An entry that is
-// gone is believed at once while the store was well, and only after a pause when
-// the store was away lately, since live endpoints then record themselves anew.
+// Endpoints register themselves in the platform's store. A record may arrive late. An entry may be
+// deleted because its endpoint shut down, or may expire because the store was unreachable while the
+// endpoint was running; its address may then be used by an endpoint of another service.
+//
+// [Directory] applies the records, which come from the store or are relayed by other nodes, in the
+// order of their versions. A deleted entry counts as gone immediately if the store has been available,
+// and only after a grace period if the store was unreachable recently, since endpoints that are still
+// running then register again. Entries that are gone stay for a while as tombstones.
 package directory
--- a/core/feedtree/doc.go
+++ b/core/feedtree/doc.go
@@ -1,17 +1,15 @@
-// Package feedtree decides which nodes pass on what the lease holder has read
-// and decided, so that no node sends to more than [FanOut] others.
+// Package feedtree plans the distribution tree by which nodes receive what the lease holder has read from
+// the store and decided, so that no node sends to more than about [FanOut] others.
 //
-// The problem: what every node must know (configuration, endpoints, what the
-// engines serve) grows with the endpoints, and one node that sends it to all
-// others sends the product of endpoints and nodes. The model is a tree of two
-// steps: the holder feeds a few strong nodes of each data hall, the feeders, and
-// these feed the other nodes of their hall. Up to [FanOut] nodes there is no
-// feeder, and the holder feeds all. Roles are not kept anywhere: each plan is
-// made from the nodes that were heard of lately, and a node whose feeder is lost
-// takes the next one by itself.
+// The data that every node needs (configuration, endpoints, loaded models) grows with the number of
+// endpoints. A node that sent it to all others would send it in proportion to endpoints times nodes. The
+// tree has two levels: the holder sends to a few strong nodes in each data hall, the feeders, and each
+// feeder sends to other nodes of its hall. With up to [FanOut] nodes there are no feeders, and the holder
+// sends to all nodes. No roles are stored: each plan is computed from the nodes that reported recently and
+// the plan before, and a node that loses its feeder asks the next one of its list.
 //
 //	feeders := feedtree.Plan(nodes, before)
-//	for _, f := range feedtree.Choices(feeders, self) { ... }   // the first that answers feeds self
+//	for _, f := range feedtree.Choices(feeders, self) { ... }   // follow the first feeder that answers
 //
-// Two steps carry FanOut*FanOut/2 nodes, 8,192; beyond that the tree needs a third.
+// Two levels support FanOut*FanOut/2 = 8,192 nodes; larger fleets need a third level.
 package feedtree
--- a/core/feedtree/feedtree.go
+++ b/core/feedtree/feedtree.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// FanOut bounds how many nodes one node feeds: a change of 1 KB for each takes 10 ms of a link of 100 Mbit/s.
+	// FanOut bounds the nodes that one node sends to: a change of 1 KB to each takes 10 ms on a link of 100 Mbit/s.
 	FanOut = 128
-	// leastFeeders is how many feeders a data hall has at least, so that the loss of one leaves another.
-	leastFeeders = 2
-	// keepRatio is by how much a node must be stronger than a feeder to take its place: a change of feeders has
-	// their nodes ask anew.
+	// minFeeders is the minimum number of feeders in a data hall, so that one is left if the other is lost.
+	minFeeders = 2
+	// keepRatio is by how much a node must be stronger than a feeder to replace it. Replacing a feeder makes
+	// its followers fetch the complete state again.
 	keepRatio = 4
 )
 
-// Node is a node that may feed others.
+// Node is a node that may become a feeder.
 type Node struct {
-	// Name and Address are those by which other nodes know it; Address takes their questions.
+	// Name is the node's name. Address is where it accepts other nodes' requests for the state.
 	Name    string
 	Address string
 	Hall    string
-	// Strength compares machines, in cores times the link's Mbit/s.
+	// Strength is the capacity of the machine: cores times the link's bandwidth in Mbit/s.
 	Strength float64
 }
 
-// Plan returns the feeders of all nodes, in order of hall and name; nil where the holder feeds all. Feeders of before
-// that are still there stay, unless much stronger nodes are.
+// Plan returns the feeders for a fleet of nodes, ordered by hall and name, or nil if the holder sends to all nodes.
+// Feeders of the plan before stay feeders while they are among nodes, unless others are much stronger. Nodes without
+// an address are not chosen.
 func Plan(nodes []Node, before []Node) []Node {
 	if len(nodes) <= FanOut {
 		return nil
@@ -40,42 +41,43 @@
 			halls[n.Hall] = append(halls[n.Hall], n)
 		}
 	}
-	fed := make(map[string]bool, len(before))
+	feeder := make(map[string]bool, len(before))
 	for _, f := range before {
-		fed[f.Name] = true
+		feeder[f.Name] = true
 	}
 	var out []Node
 	for _, in := range halls {
 		slices.SortFunc(in, func(a, b Node) int {
-			return cmp.Or(cmp.Compare(rank(b, fed), rank(a, fed)), cmp.Compare(a.Name, b.Name))
+			return cmp.Or(cmp.Compare(rank(b, feeder), rank(a, feeder)), cmp.Compare(a.Name, b.Name))
 		})
-		k := max(leastFeeders, (len(in)+FanOut-1)/FanOut)
+		k := max(minFeeders, (len(in)+FanOut-1)/FanOut)
 		out = append(out, in[:min(k, len(in))]...)
 	}
 	slices.SortFunc(out, func(a, b Node) int { return cmp.Or(cmp.Compare(a.Hall, b.Hall), cmp.Compare(a.Name, b.Name)) })
 	return out
 }
 
-// rank is a node's strength, raised where it is a feeder already.
-func rank(n Node, fed map[string]bool) float64 {
-	if fed[n.Name] {
+// rank returns a node's strength for the choice of feeders, multiplied by keepRatio if it already is a feeder.
+func rank(n Node, feeder map[string]bool) float64 {
+	if feeder[n.Name] {
 		return keepRatio * n.Strength
 	}
 	return n.Strength
 }
 
-// SamePlan reports whether two plans name the same feeders.
+// SamePlan reports whether two plans contain the same feeders.
 func SamePlan(a, b []Node) bool {
 	return slices.EqualFunc(a, b, func(x, y Node) bool { return x.Name == y.Name && x.Address == y.Address })
 }
 
-// IsFeeder reports whether a node is among the feeders.
+// IsFeeder reports whether the node called name is among the feeders.
 func IsFeeder(feeders []Node, name string) bool {
 	return slices.ContainsFunc(feeders, func(f Node) bool { return f.Name == name })
 }
 
-// Choices returns the feeders that a node may ask, the first one first: those of its own data hall, each for about as
-// many nodes as the others, then those of other halls. A feeder has none: it asks the holder.
+// Choices returns the feeders that a node may follow, in order of preference: first those of its own data hall, in an
+// order by rendezvous hashing that spreads the hall's nodes evenly, then those of other halls. It returns nil for a
+// feeder, which follows the holder.
 func Choices(feeders []Node, name, hall string) []Node {
 	if IsFeeder(feeders, name) {
 		return nil
@@ -93,27 +95,27 @@
 	return out
 }
 
-// Times after which a node that nobody feeds reads the store for itself.
+// Delays after which a node that follows no other node reads the store itself.
 const (
-	// startPatience is the time for a node that does not know how many others there are.
-	startPatience = 3 * time.Second
-	// startSpread spreads the nodes that start together without knowing of each other.
-	startSpread = 6 * time.Second
-	// readsPerSecond is how many whole reads a second all nodes of a large fleet together make.
+	// unknownSizeDelay is the least delay of a node that does not know the size of the fleet.
+	unknownSizeDelay = 3 * time.Second
+	// unknownSizeSpread is the range of the random part of that delay. It spreads nodes that start at the same time.
+	unknownSizeSpread = 6 * time.Second
+	// readsPerSecond is the rate of complete reads of the store by all nodes of a large fleet together.
 	readsPerSecond = 40
-	// largePatience is the least time in a fleet that needs feeders.
-	largePatience = 1500 * time.Millisecond
+	// largeFleetDelay is the least delay in a fleet with feeders.
+	largeFleetDelay = 1500 * time.Millisecond
 )
 
-// Patience is how long a node that nobody feeds waits before it reads the store for itself, where so many nodes are
-// known; 0 stands for unknown. Draw, from 0 to 1, is the node's own place among all. In a fleet that the holder can feed
-// by itself nodes need not wait for each other.
+// Patience returns how long a node that follows no other node waits before it reads the store itself, in a fleet of
+// that many nodes; 0 if the size is unknown. Draw is a random number from 0 to 1 that spreads the nodes' reads. The
+// delay is 0 in a fleet that the holder can serve alone.
 func Patience(nodes int, draw float64) time.Duration {
 	switch {
 	case nodes <= 0:
-		return startPatience + time.Duration(draw*float64(startSpread))
+		return unknownSizeDelay + time.Duration(draw*float64(unknownSizeSpread))
 	case nodes <= FanOut:
 		return 0
 	}
-	return largePatience + time.Duration(draw*float64(nodes)/readsPerSecond*float64(time.Second))
+	return largeFleetDelay + time.Duration(draw*float64(nodes)/readsPerSecond*float64(time.Second))
 }
--- a/core/feedtree/feedtree_test.go
+++ b/core/feedtree/feedtree_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleet returns nodes dealt over data halls, every twentieth of them strong.
+// fleet returns nodes spread evenly over data halls, about one in twenty of them strong.
 func fleet(nodes, halls int) []Node {
 	var out []Node
 	for i := range nodes {
@@ -22,9 +22,9 @@
 	return out
 }
 
-// TestNobodyFeedsTooMany checks that no node feeds more than twice the fan-out on the average over its hall's
-// feeders, from one node to twice the largest deployment known.
-func TestNobodyFeedsTooMany(t *testing.T) {
+// TestFollowersPerFeeder checks that followers are spread over the feeders of their own hall, so that none has many
+// more than FanOut, and that weak nodes do not become feeders. Fleets have 1 node to twice the largest known number.
+func TestFollowersPerFeeder(t *testing.T) {
 	for _, size := range []int{1, 7, 71, 128, 129, 300, 984, 2000} {
 		nodes := fleet(size, 5)
 		feeders := Plan(nodes, nil)
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestFeedersStay checks that a plan keeps the feeders that are still there, whatever else comes and goes.
+// TestFeedersStay checks that the loss of a feeder does not make other feeders lose their role.
 func TestFeedersStay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := fleet(rapid.IntRange(FanOut+1, 600).Draw(t, "nodes"), rapid.IntRange(1, 6).Draw(t, "halls"))
@@ -79,7 +79,7 @@
 	})
 }
 
-// TestWeakFeederReplaced checks that a much stronger node takes a weak feeder's place.
+// TestWeakFeederReplaced checks that a much stronger node replaces a weak feeder.
 func TestWeakFeederReplaced(t *testing.T) {
 	nodes := fleet(200, 1)
 	weak := Node{Name: "weak", Address: "w", Hall: "a", Strength: 4}
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestPatience checks that the store gets no more whole reads a second than it should from nodes that nobody feeds,
-// and that small fleets do not wait.
-func TestPatience(t *testing.T) {
+// TestReadDelay checks that nodes of a large fleet that all lose their feeders make at most readsPerSecond complete
+// reads a second of the store, and that small fleets do not wait.
+func TestReadDelay(t *testing.T) {
 	if diff := cmp.Diff([]time.Duration{0, 0}, []time.Duration{Patience(1, 0.9), Patience(FanOut, 0.9)}); diff != "" {
 		t.Errorf("patience of small fleets (-want +got):\n%s", diff)
 	}
--- a/core/lease/doc.go
+++ b/core/lease/doc.go
@@ -1,14 +1,19 @@
-// Package lease decides which node may order engines.
+// Package lease implements the leader lease: it decides which node may send orders to engines.
 //
-// The problem: at most one node may order engines at a time, although nodes
-// die, freeze and lose their way to the platform, and although an append to the
-// log may be carried out without an answer, or late. The model: the log has one
-// topic for the lease, and every append to it names the end that its writer has
-// read, so that of two competing writers one is refused. A holder renews; all
-// others time the latest renewal that they have read, on their own steady
-// clocks, and take over only when none came for [TTL]. The holder counts its own
-// time from before it sent the renewal, and stops [Margin] earlier. A takeover's
-// position is the fencing number: it only rises, also where the log comes back from
-// an older copy. A record counts in the era of the log that it was sent in only; who
-// did not hold all the while waits [TTL] in an era in which nobody has written.
+// At most one node may do so at a time, although nodes crash, freeze and are partitioned from the
+// platform, and although an append to the log may take effect late or without an acknowledgement.
+//
+// The lease is kept in one topic of the platform's log. Every append to it is conditional on the end
+// of the topic that its writer has read, so of two competing writers one is refused. The holder
+// appends a renewal every [RenewEvery]. Every other node measures on its own monotonic clock the time
+// since the latest renewal that it has read, and takes over only after [TTL] without one. The holder
+// counts its term from before it sent the renewal and stops [Margin] earlier than the others may take
+// over. The position after the takeover's record is the fencing number. It only rises, also when the
+// log is restored from an older backup, since a position includes the log's era (see package
+// position). A record is valid only in the era in which it was sent; in an era in which nobody has
+// written yet, a node that does not hold the lease waits [TTL] before it takes over.
+//
+// [Lease] is the state machine of the lease. [Outage] decides whether a holder whose lease has
+// expired may continue because the store is unreachable. Both are pure: the controller on each node
+// does the I/O, and passes in records, results of appends and the time.
 package lease
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -8,122 +8,124 @@
 	"olivetiller/core/position"
 )
 
-// Times of the lease. Engines tolerate a change of holder after the platform's
-// lease bound (3 s on the deployments known); the sum of TTL and the store's
-// answer time stays near it.
+// Durations of the lease. Engines tolerate a change of holder within the platform's lease bound (3 s
+// on the known deployments); TTL plus the store's response time stays near that bound.
 const (
-	// TTL is how long after the latest renewal that it read a node may take over.
+	// TTL is how long after reading the latest renewal a node may take over.
 	TTL = 2500 * time.Millisecond
-	// Margin is how much earlier the holder stops ordering.
+	// Margin is how long before the end of TTL the holder stops sending orders.
 	Margin = 700 * time.Millisecond
-	// RenewEvery is the time between two renewals.
+	// RenewEvery is the interval between two renewals.
 	RenewEvery = 600 * time.Millisecond
-	// RetryEvery is the pause after an append that failed: every call has its
-	// price, refused ones too.
+	// RetryEvery is the pause after a failed append. It limits the load on the store: refused appends
+	// cost it as much as accepted ones.
 	RetryEvery = 400 * time.Millisecond
-	// ReadFresh is how old the latest read of the topic may be for a takeover.
+	// ReadFresh is the maximum age of the latest complete read of the topic for a takeover.
 	ReadFresh = 1500 * time.Millisecond
-	// AwayLimit is how long after its lease ran out a holder may go on, if the store
-	// is away: longer than the outages known, which last up to nine seconds.
+	// AwayLimit is how long after its lease expired a holder may continue while the store is
+	// unreachable. Known outages last up to nine seconds.
 	AwayLimit = 15 * time.Second
 )
 
-// FirstFence is the fencing number of the first holder ever.
+// FirstFence is the fencing number of the first takeover in a new log.
 const FirstFence = 1
 
-// Record is one record of the lease's topic.
+// Record is one record of the lease topic: a takeover, a renewal or a release.
 type Record struct {
-	// Holder is the node's name.
+	// Holder is the name of the node that wrote the record.
 	Holder string `json:"holder"`
-	// Life tells one life of the process from the next.
+	// Life identifies the incarnation of the node's process; see [NewLife].
 	Life string `json:"life"`
-	// Address is where the holder takes the other nodes' reports.
+	// Address is where the holder accepts the reports of other nodes.
 	Address string `json:"address"`
-	// Release is true when the holder gives the lease up.
+	// Release is true if the holder gives up the lease with this record.
 	Release bool `json:"release,omitempty"`
-	// Nodes are all others that may take the lease; nil where the holder cannot tell, or
-	// need not because engines check fences.
+	// Nodes are the names of all other nodes that may take the lease. It is nil if the holder does
+	// not know all of them yet, or does not need them because engines check fencing numbers.
 	Nodes []string `json:"nodes"`
-	// Members is over how many nodes the holder parts customers' limits; 0 where it does
-	// not tell.
+	// Members is the number of nodes among which the holder divides customers' limits; 0 if the
+	// record does not state it.
 	Members int `json:"members,omitempty"`
-	// Era is the store's era in which the record was sent. One that stands at a position of
-	// a later era was copied there, or carried out late: it gives nobody the lease.
+	// Era is the store's era in which the record was sent. A record at a position of a later era was
+	// copied there by a restore, or took effect late; it gives nobody the lease.
 	Era uint64 `json:"era,omitempty"`
 }
 
-// SameLife reports whether two records were written by one life of one node.
+// SameLife reports whether two records were written by the same incarnation of the same node.
 func (r Record) SameLife(o Record) bool { return r.Holder == o.Holder && r.Life == o.Life }
 
-// Lease is one node's knowledge of the lease. It is not safe for concurrent use.
+// Lease is one node's view of the lease, built from the records that it has read and the results of
+// its own appends. It is not safe for concurrent use.
 type Lease struct {
 	self  Record
 	delay time.Duration
-	// named is true for the successor: its first append needs no fresh read, since
-	// nobody else tries then, and the append itself is refused where the holder lives.
-	named bool
-	// refused is set when an append failed since the latest record read.
+	// successor is true if the holder has named this node its successor. Its first takeover needs no fresh
+	// read of the topic: no other node tries at that time, and the append is refused if the holder
+	// still renews.
+	successor bool
+	// refused is true if an append failed after the latest record was read.
 	refused bool
-	// freeSince is when the topic was first read to its end without a holder.
+	// freeSince is when this node first found the lease free after a complete read; zero if it is held.
 	freeSince time.Time
 	// end is the position after the latest record read.
 	end position.Position
-	// holder is the latest holder; zero when the lease is free.
+	// holder is the latest record of the current holder; zero if the lease is free.
 	holder Record
-	// former is the latest record of the holder before; zero if none is known.
+	// former is the latest record of the previous holder; zero if none is known.
 	former Record
-	// formerAt is when that record was read here.
+	// formerAt is when this node read the record former.
 	formerAt time.Time
-	// latest is the offset of the holder's latest record.
-	latest uint64
-	// fence is 1 + the offset of the holder's takeover record.
+	// latestPos is the position of the record holder.
+	latestPos uint64
+	// fence is the fencing number: 1 + the position of the holder's takeover record.
 	fence uint64
-	// seenAt is when the latest record of the holder was read here.
+	// seenAt is when this node read the record holder.
 	seenAt time.Time
-	// until is when this node must stop ordering; zero when it never held.
+	// until is when this node must stop sending orders; zero if it does not hold the lease.
 	until time.Time
-	// sentAt is when the append in flight was sent; zero when there is none.
+	// sentAt is when the append in flight was sent; zero if there is none.
 	sentAt time.Time
 	// readAt is when the topic was last read to its end; zero if it never was.
 	readAt time.Time
-	// retryAt is when the next append may be sent after one that failed.
+	// retryAt is the earliest time for the next append after a failed one.
 	retryAt time.Time
-	// trying is set from a takeover's append until the topic is read again: the record
-	// may be on the log by then, or come on it.
-	trying bool
-	// eraAt is when this node first knew of the store's present era, and eraTold whether a
-	// record of it was folded.
-	eraAt   time.Time
-	eraTold bool
-	// copied is true while the holder is known from a record of an earlier era only.
+	// takeoverPending is set from a takeover's append until the topic is read again: until then the record may
+	// already be on the log, or still be added to it.
+	takeoverPending bool
+	// eraAt is when this node first saw the store's current era; eraWritten is true if a record that was
+	// sent in that era has been read.
+	eraWritten time.Time
+	eraTold    bool
+	// copied is true if the holder is known only from a record of an earlier era.
 	copied bool
-	// heldUntil is until as it was when the lease was last renewed; zero once
-	// another holder is known, or an engine refused the fence.
+	// heldUntil is the value that until had after the latest renewal. Unlike until it is also kept
+	// while the store is unreachable; it is zero once another holder is known or an engine has refused
+	// the fencing number.
 	heldUntil time.Time
 }
 
-// New returns the knowledge of a node that has read nothing. The node waits for
-// delay longer than it must before it takes over.
+// New returns the lease of a node that has read nothing yet. The node waits for delay in addition to
+// the required time before it takes over, so that not all nodes try at once.
 func New(self Record, delay time.Duration) *Lease { return &Lease{self: self, delay: delay} }
 
-// Succession sets how much longer than it must this node waits before it takes over,
-// and whether the holder has named it as its successor.
-func (l *Lease) Succession(named bool, delay time.Duration) { l.named, l.delay = named, delay }
+// Succession sets whether the holder has named this node its successor, and the delay as in [New].
+func (l *Lease) Succession(successor bool, delay time.Duration) {
+	l.successor, l.delay = successor, delay
+}
 
-// reach notes that a position was read up to, which may be the first of an era.
+// reach records that the topic was read up to a position, which may be the first one of a new era.
 func (l *Lease) reach(p position.Position, now time.Time) {
 	if p < l.end {
 		return
 	}
-	if era := position.Era(p); l.eraAt.IsZero() || era > position.Era(l.end) {
-		// Who takes the lease in an era that nobody has written in yet waits from here.
-		l.eraAt, l.eraTold = now, era == 0
+	if era := position.Era(p); l.eraWritten.IsZero() || era > position.Era(l.end) {
+		// A takeover in an era without records waits for TTL from here.
+		l.eraWritten, l.eraTold = now, era == 0
 	}
 	l.end = p
 }
 
-// Fold takes one record in, by its position. Records at positions already folded are
-// passed over.
+// Fold applies one record, read at a position. Records at positions that were already read are ignored.
 func (l *Lease) Fold(offset uint64, r Record, now time.Time) {
 	if offset < l.end {
 		return
@@ -139,23 +141,23 @@
 	switch {
 	case r.Release && same:
 		l.retire()
-		// Free anew: the delay of a node that was the holder counts from here, too.
+		// A former holder also waits for its full delay before it takes the free lease again.
 		l.holder, l.until, l.freeSince = Record{}, time.Time{}, time.Time{}
 	case r.Release:
-		// A release by a former holder changes nothing.
+		// A release by a previous holder changes nothing.
 	case same && !l.copied:
-		l.holder, l.latest, l.seenAt = r, offset, now
+		l.holder, l.latestPos, l.seenAt = r, offset, now
 	default:
 		l.retire()
-		l.holder, l.latest, l.fence, l.seenAt, l.copied = r, offset, offset+1, now, false
+		l.holder, l.latestPos, l.fence, l.seenAt, l.copied = r, offset, offset+1, now, false
 	}
-	if !l.mine() {
+	if !l.heldBySelf() {
 		l.until, l.heldUntil = time.Time{}, time.Time{}
 	}
 }
 
-// foldCopy takes in a record of an earlier era. Who remembers a holder knows better; to
-// others the record tells who may still be ordering.
+// foldCopy applies a record of an earlier era. A node that remembers a current or previous holder ignores
+// it; to other nodes it shows which node may still be sending orders.
 func (l *Lease) foldCopy(r Record, now time.Time) {
 	switch {
 	case l.holder.Holder == "" && l.former.Holder == "" && !r.Release, l.copied && !r.Release:
@@ -165,65 +167,65 @@
 	}
 }
 
-// retire notes that the latest holder, if there is one, is the holder no more.
+// retire moves the current holder, if there is one, to former.
 func (l *Lease) retire() {
 	if l.holder.Holder != "" {
 		l.former, l.formerAt = l.holder, l.seenAt
 	}
 }
 
-// CaughtUp notes that the topic was read up to its end. Records may be missing
-// before it where the platform dropped its history.
+// CaughtUp records that the topic was read to its end, a position. Records before it may be missing
+// if the platform has truncated the topic.
 func (l *Lease) CaughtUp(end uint64, now time.Time) {
 	l.reach(end, now)
-	l.readAt, l.trying = now, false
+	l.readAt, l.takeoverPending = now, false
 }
 
-// Trying reports whether a takeover that this node tried may have succeeded.
-func (l *Lease) Trying() bool { return l.trying }
+// Trying reports whether a takeover by this node may still take effect although it was not acknowledged.
+func (l *Lease) Trying() bool { return l.takeoverPending }
 
-// End returns the offset to read from, and to append at.
+// End returns the position to read from and to append at.
 func (l *Lease) End() uint64 { return l.end }
 
-// Holder returns the latest holder known, and its fencing number.
+// Holder returns the latest record of the current holder, zero if there is none, and its fencing number.
 func (l *Lease) Holder() (Record, uint64) { return l.holder, l.fence }
 
-// Latest returns the latest record of the holder and its offset; ok is false where no
-// holder is known.
+// Latest returns the latest record of the current holder and its position; ok is false if no holder
+// is known.
 func (l *Lease) Latest() (r Record, offset uint64, ok bool) {
-	return l.holder, l.latest, l.holder.Holder != ""
+	return l.holder, l.latestPos, l.holder.Holder != ""
 }
 
-// mine reports whether the latest holder is this life of this node.
-func (l *Lease) mine() bool {
+// heldBySelf reports whether the current holder is this incarnation of this node.
+func (l *Lease) heldBySelf() bool {
 	return l.holder.SameLife(l.self)
 }
 
-// Held reports whether this node may order engines now, and under which fence.
+// Held reports whether this node may send orders to engines now, and under which fencing number.
 func (l *Lease) Held(now time.Time) (fence uint64, ok bool) {
-	return l.fence, l.mine() && now.Before(l.until)
+	return l.fence, l.heldBySelf() && now.Before(l.until)
 }
 
-// Until returns when this node must stop ordering; zero when it does not hold the
-// lease.
+// Until returns when this node must stop sending orders; zero if it does not hold the lease.
 func (l *Lease) Until() time.Time { return l.until }
 
-// Wants reports whether this node should append now: a renewal of its own lease
-// or a takeover of a free or silent one.
+// Wants reports whether this node should append a record now: a renewal of its own lease, or a
+// takeover of a lease that is free or that its holder has not renewed in time.
 func (l *Lease) Wants(now time.Time) bool {
-	// What was relayed to a successor is enough for its first append.
-	told := l.named && !l.refused && l.end > 0
+	// A successor's first append relies on the records that the holder has relayed to it.
+	relayed := l.successor && !l.refused && l.end > 0
 	switch {
-	case l.readAt.IsZero() && !told || !l.sentAt.IsZero() || now.Before(l.retryAt):
+	case l.readAt.IsZero() && !relayed || !l.sentAt.IsZero() || now.Before(l.retryAt):
 		return false
-	case l.mine() && now.Before(l.until):
+	case l.heldBySelf() && now.Before(l.until):
 		return now.Sub(l.seenAt) >= RenewEvery
-	case !l.eraTold && now.Sub(l.eraAt) < TTL:
-		// Another may have taken the lease in what was lost, and order until its time is over.
+	case !l.eraTold && now.Sub(l.eraWritten) < TTL:
+		// Another node may have taken the lease by a record that the restore lost, and may send orders
+		// until its term is over.
 		return false
-	case l.mine():
+	case l.heldBySelf():
 		return now.Sub(l.seenAt) >= RenewEvery
-	case now.Sub(l.readAt) > ReadFresh && !told:
+	case now.Sub(l.readAt) > ReadFresh && !relayed:
 		return false
 	}
 	if l.holder.Holder == "" {
@@ -234,76 +236,74 @@
 	}
 	l.freeSince = time.Time{}
 	if l.holder.Holder == l.self.Holder {
-		// A former life of this very process's machine holds it: it is no more.
+		// An earlier incarnation of this node holds it, and has ended.
 		return true
 	}
 	return now.Sub(l.seenAt) >= TTL+l.delay
 }
 
-// Begin notes that an append is being sent at the end known, and returns the
-// record to append. It names the others that may take the lease.
+// Begin records that an append at [Lease.End] is being sent, and returns the record to append. Others
+// are the other nodes that may take the lease, nil if unknown; they become [Record.Nodes].
 func (l *Lease) Begin(now time.Time, others []string) Record {
 	l.sentAt, l.self.Nodes, l.self.Era = now, others, position.Era(l.end)
-	l.trying = l.trying || !l.mine()
+	l.takeoverPending = l.takeoverPending || !l.heldBySelf()
 	return l.self
 }
 
-// SetMembers sets what this node's records say of the nodes that limits are parted over.
+// SetMembers sets [Record.Members] of the records that this node writes.
 func (l *Lease) SetMembers(n int) { l.self.Members = n }
 
-// Members returns what the records of this holder or the one before say of that; 0 if
-// they do not.
+// Members returns the larger [Record.Members] of the current and the previous holder; 0 if neither states it.
 func (l *Lease) Members() int { return max(l.holder.Members, l.former.Members) }
 
 // Appending reports whether an append is in flight.
 func (l *Lease) Appending() bool { return !l.sentAt.IsZero() }
 
-// unanswered returns for how long the append in flight has had no answer; 0 if there is
-// none.
-func (l *Lease) unanswered(now time.Time) time.Duration {
+// appendAge returns how long the append in flight has waited for its answer; 0 if none is in flight.
+func (l *Lease) appendAge(now time.Time) time.Duration {
 	if l.sentAt.IsZero() {
 		return 0
 	}
 	return now.Sub(l.sentAt)
 }
 
-// Appended notes that the append in flight was acknowledged at an offset.
+// Appended records that the append in flight was acknowledged at a position.
 func (l *Lease) Appended(offset uint64, now time.Time) {
 	if position.Era(offset) < position.Era(l.end) {
-		// The store has come back without it.
+		// The store has been restored since, without this record.
 		l.Failed(now)
 		return
 	}
 	sent := l.sentAt
 	l.sentAt = time.Time{}
 	l.Fold(offset, l.self, now)
-	if l.mine() && !l.copied {
+	if l.heldBySelf() && !l.copied {
 		l.until = sent.Add(TTL - Margin)
 		l.heldUntil = l.until
 	}
 }
 
-// Failed notes that the append in flight was refused, or that no answer came. It
-// may still be carried out: the record is then read like any other, and gives no
-// right to order until a renewal is acknowledged.
+// Failed records that the append in flight was refused, or got no answer. It may still take effect:
+// its record is then read like any other, and gives no right to send orders until a renewal is
+// acknowledged.
 func (l *Lease) Failed(now time.Time) {
 	l.sentAt, l.refused = time.Time{}, true
 	l.retryAt = now.Add(RetryEvery)
 }
 
-// outlasts reports whether a holder whose lease ran out may go on if the store is away:
-// nothing that this node has read or was answered speaks of another holder.
-func (l *Lease) outlasts(now time.Time) bool {
-	return l.mine() && !l.heldUntil.IsZero() && now.Before(l.heldUntil.Add(AwayLimit))
+// mayOutlast reports whether a holder whose lease expired may continue if the store is unreachable:
+// nothing that this node has read or been answered shows another holder, and AwayLimit is not over.
+func (l *Lease) mayOutlast(now time.Time) bool {
+	return l.heldBySelf() && !l.heldUntil.IsZero() && now.Before(l.heldUntil.Add(AwayLimit))
 }
 
-// Deposed notes that an engine has seen a higher fence than this node's.
+// Deposed records that an engine has seen a higher fencing number than this node's.
 func (l *Lease) Deposed() { l.until, l.heldUntil = time.Time{}, time.Time{} }
 
-// Releasing returns the record that gives the lease up; ok is false when this
-// node does not hold it. From here on it does not order any more.
+// Releasing returns the record that gives up the lease; ok is false if this node does not hold it.
+// From this call on the node sends no orders.
 func (l *Lease) Releasing() (r Record, ok bool) {
-	if !l.mine() {
+	if !l.heldBySelf() {
 		return Record{}, false
 	}
 	l.until, l.heldUntil = time.Time{}, time.Time{}
@@ -312,7 +312,7 @@
 	return r, true
 }
 
-// NewLife returns a name that tells this life of a node's process from others.
+// NewLife returns a name that is unique to this incarnation of a node's process.
 func NewLife(node string) string {
 	return node + "-" + uuid.NewString()
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -14,12 +14,12 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at returns a moment some milliseconds after the start.
+// at returns the time ms milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func rec(node string) Record { return Record{Holder: node, Life: node + "-1"} }
 
-// TestTakeover walks through the life of a lease, step by step, as node b sees it.
+// TestTakeover checks in which states of the lease node b wants to take it over.
 func TestTakeover(t *testing.T) {
 	tests := []struct {
 		name string
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestHeld checks how long a holder may order: from before it sent, and only by
-// an acknowledged append of this life.
+// TestHeld checks that a holder's term counts from before the append was sent, and that only an
+// acknowledged append of this incarnation gives the right to send orders.
 func TestHeld(t *testing.T) {
 	l := New(rec("a"), 0)
 	l.CaughtUp(7, at(0))
@@ -110,22 +110,22 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("Held (-want +got):\n%s", diff)
 	}
-	// An append without an answer that is read back gives no right by itself.
+	// A renewal without an answer gives no right when it is read back later.
 	l.Begin(at(1500), nil)
 	l.Failed(at(1600))
 	l.Fold(8, rec("a"), at(6000))
 	if _, ok := l.Held(at(6000)); ok {
 		t.Error("a renewal read back late gave the right to order")
 	}
-	// A former life of this node is another holder.
+	// An earlier incarnation of this node is another holder.
 	l.Fold(9, Record{Holder: "a", Life: "a-0"}, at(6100))
 	if _, ok := l.Held(at(6100)); ok {
-		t.Error("the former life's record gave this life the right to order")
+		t.Error("the earlier incarnation's record gave this incarnation the right to order")
 	}
 }
 
-// TestOutlasts checks how long a holder may go on while the store is away, and
-// that word of another holder ends it.
+// TestOutlasts checks how long a holder may continue while the store is unreachable, and that any
+// sign of another holder ends it.
 func TestOutlasts(t *testing.T) {
 	held := func() *Lease {
 		l := New(rec("a"), 0)
@@ -151,54 +151,53 @@
 		t.Run(tt.name, func(t *testing.T) {
 			l := held()
 			tt.do(l)
-			if got := l.outlasts(at(tt.ms)); got != tt.want {
-				t.Errorf("outlasts after %d ms = %t, want %t", tt.ms, got, tt.want)
+			if got := l.mayOutlast(at(tt.ms)); got != tt.want {
+				t.Errorf("mayOutlast after %d ms = %t, want %t", tt.ms, got, tt.want)
 			}
 		})
 	}
 }
 
-// pendingAppend is an append on its way to the log of the model below.
+// pendingAppend is an append in flight to the log of the model.
 type pendingAppend struct {
 	node, at int
 	rec      Record
-	// arrives is when the log carries it out; answer says whether it tells.
+	// arrives is when the append takes effect; answer is true if it is then acknowledged or refused.
 	arrives time.Time
 	answer  bool
 }
 
-// world is a log with three nodes that may lose answers, be frozen and be late.
-type world struct {
+// logModel models a log and nodes whose answers may be lost, whose appends may be late and which may freeze.
+type logModel struct {
 	log   []Record
 	nodes []*Lease
 	read  []int
-	// readEra is the era that a node has read in, and era the store's. putBacks is set where
-	// the store is put back.
+	// readEra is the era that each node last read in, era the store's current one. restores is true if
+	// the schedule restores the store from backups.
 	readEra  []uint64
 	era      uint64
-	putBacks bool
+	restores bool
 	frozen   []time.Time
 	pending  []pendingAppend
 	now      time.Time
 }
 
-// TestOneHolder plays random schedules of reads, appends that are late or whose
-// answers are lost, freezes and restarts, and expects that no two nodes may order
-// at one moment, and that fences only rise.
+// TestOneHolder runs random schedules of reads, late appends, lost answers, freezes and restarts. At no
+// time may two nodes hold the lease, and fencing numbers must only rise.
 func TestOneHolder(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { playLeases(t, &world{now: start}) })
+	rapid.Check(t, func(t *rapid.T) { runSchedule(t, &logModel{now: start}) })
 }
 
-// TestOneHolderOverEras plays the same beside a store that is put back at any moment, to any
-// length, also twice in a row, while appends are on their way that it then carries out.
-// Without the era in a record, in a fence, or without the wait for what may have been lost
-// it finds two holders, or a fence that falls.
-func TestOneHolderOverEras(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { playLeases(t, &world{now: start, putBacks: true}) })
+// TestOneHolderOverRestores runs the same schedules with a store that is restored from a backup at any time
+// and to any length, also twice in a row, while appends are in flight that take effect afterwards. It
+// finds two holders or a falling fencing number if the era is missing from records or from fencing
+// numbers, or if nodes do not wait for a holder whose record the restore lost.
+func TestOneHolderOverRestores(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { runSchedule(t, &logModel{now: start, restores: true}) })
 }
 
-// playLeases plays one random schedule.
-func playLeases(t *rapid.T, w *world) {
+// runSchedule runs one random schedule.
+func runSchedule(t *rapid.T, w *logModel) {
 	const n = 3
 	for i := range n {
 		w.nodes = append(w.nodes, New(Record{Holder: fmt.Sprint(i), Life: "0"}, time.Duration(i)*100*time.Millisecond))
@@ -208,7 +207,7 @@
 	var highest uint64
 	for step := range 200 {
 		w.now = w.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
-		w.arrive()
+		w.executeDue()
 		i := rapid.IntRange(0, n-1).Draw(t, "node")
 		if w.now.Before(w.frozen[i]) {
 			continue
@@ -220,8 +219,8 @@
 			w.nodes[i] = New(Record{Holder: fmt.Sprint(i), Life: fmt.Sprint(step)}, time.Duration(i)*100*time.Millisecond)
 			w.read[i] = 0
 		case 2:
-			if w.putBacks && rapid.IntRange(0, 1).Draw(t, "putBack") == 0 {
-				w.putBack(rapid.IntRange(max(0, len(w.log)-8), len(w.log)).Draw(t, "end"))
+			if w.restores && rapid.IntRange(0, 1).Draw(t, "putBack") == 0 {
+				w.restore(rapid.IntRange(max(0, len(w.log)-8), len(w.log)).Draw(t, "end"))
 			}
 			w.catchUp(i)
 		case 3, 4, 5:
@@ -233,22 +232,22 @@
 	}
 }
 
-// arrive carries out the appends that are due.
-func (w *world) arrive() {
+// executeDue executes the appends that are due.
+func (w *logModel) executeDue() {
 	var later []pendingAppend
 	for _, p := range w.pending {
 		if w.now.Before(p.arrives) {
 			later = append(later, p)
 			continue
 		}
-		ok := p.at == len(w.log) && (p.rec.Era == w.era || w.putBacks)
+		ok := p.at == len(w.log) && (p.rec.Era == w.era || w.restores)
 		if ok {
 			w.log = append(w.log, p.rec)
 		}
 		l := w.nodes[p.node]
 		switch {
 		case !l.self.SameLife(p.rec):
-			// The process that sent it is no more.
+			// The process that sent it has ended.
 		case ok && p.answer && p.rec.Era == w.era && !w.now.Before(w.frozen[p.node]):
 			l.Appended(w.at(p.at), w.now)
 		default:
@@ -259,11 +258,11 @@
 }
 
 // at returns the position of an offset in the store's era.
-func (w *world) at(offset int) position.Position { return position.Begin(w.era) + uint64(offset) }
+func (w *logModel) at(offset int) position.Position { return position.Begin(w.era) + uint64(offset) }
 
-func (w *world) catchUp(i int) {
+func (w *logModel) catchUp(i int) {
 	if w.readEra[i] != w.era {
-		// Read anew: other records stand at the offsets read before.
+		// Read from the start: after the restore the same offsets may hold other records.
 		w.read[i], w.readEra[i] = 0, w.era
 	}
 	for ; w.read[i] < len(w.log); w.read[i]++ {
@@ -272,13 +271,13 @@
 	w.nodes[i].CaughtUp(w.at(len(w.log)), w.now)
 }
 
-// putBack has the store come back from a copy that ends at an offset.
-func (w *world) putBack(end int) {
+// restore restores the store from a backup that ends at an offset, in a new era.
+func (w *logModel) restore(end int) {
 	w.log = slices.Clone(w.log[:end])
 	w.era++
 }
 
-func (w *world) appendIfWanted(t *rapid.T, i int) {
+func (w *logModel) appendIfWanted(t *rapid.T, i int) {
 	l := w.nodes[i]
 	if !l.Wants(w.now) {
 		return
@@ -288,31 +287,31 @@
 	answer := rapid.IntRange(0, 3).Draw(t, "answer") > 0
 	w.pending = append(w.pending, pendingAppend{i, int(position.Offset(l.End())), rec, w.now.Add(late), answer})
 	if late > 1500*time.Millisecond || !answer {
-		// The node gives up on the answer.
+		// The node no longer waits for the answer.
 		l.Failed(w.now)
 		w.pending[len(w.pending)-1].answer = false
 	}
 }
 
-func (w *world) check(t *rapid.T, highest uint64) uint64 {
+func (w *logModel) check(t *rapid.T, highest uint64) uint64 {
 	holders := 0
 	for _, l := range w.nodes {
 		if fence, ok := l.Held(w.now); ok {
 			holders++
 			if fence < highest {
-				t.Fatalf("fence %d after %d", fence, highest)
+				t.Fatalf("fencing number %d follows %d, want it to rise", fence, highest)
 			}
 			highest = fence
 		}
 	}
 	if holders > 1 {
-		t.Fatalf("%d nodes may order at one moment", holders)
+		t.Fatalf("%d nodes hold the lease at the same time", holders)
 	}
 	return highest
 }
 
-// TestFormerHolderWaits checks that a node which gave the lease up waits for its delay before
-// it takes it again, although the lease had been free before it first took it.
+// TestFormerHolderWaits guards against a node that released the lease and took it again without its
+// delay, because it still counted the delay from when the lease was free before its first takeover.
 func TestFormerHolderWaits(t *testing.T) {
 	l := New(Record{Holder: "a", Life: "a-1"}, 100*time.Millisecond)
 	l.CaughtUp(0, start)
@@ -328,13 +327,13 @@
 	l.CaughtUp(2, at(5000))
 	got := []bool{l.Wants(at(5000)), l.Wants(at(5099)), l.Wants(at(5100))}
 	if diff := cmp.Diff([]bool{false, false, true}, got); diff != "" {
-		t.Errorf("wanted at once, just before and after the delay (-want +got):\n%s", diff)
+		t.Errorf("Wants immediately, just before and after the delay (-want +got):\n%s", diff)
 	}
 }
 
-// TestAckOfAnotherEra checks that a node does not take a record of its own for the lease that
-// the store acknowledged where it belongs to an earlier era. It held without a fence then, and
-// engines that check fences refused all its orders.
+// TestAckOfAnotherEra guards against a node that holds the lease by its own record of an earlier era,
+// which the restored store has acknowledged. It then held without a fencing number, and engines that
+// check fencing numbers refused all its orders.
 func TestAckOfAnotherEra(t *testing.T) {
 	l := New(Record{Holder: "a", Life: "a-1"}, 0)
 	l.CaughtUp(0, start)
--- a/core/lease/outage.go
+++ b/core/lease/outage.go
@@ -5,128 +5,128 @@
 	"time"
 )
 
-// Times of an outage.
+// Durations of an outage of the store.
 const (
-	// FollowFresh is how lately a node must have spoken to count as following.
+	// FollowFresh is the maximum age of a node's latest report for it to count as a follower.
 	FollowFresh = 1500 * time.Millisecond
-	// AwayKept is how long after a failed call the store counts as away: longer than the
-	// pauses between two calls of a node that gets no answer.
+	// AwayKept is how long after a failed call the store counts as unreachable: longer than the
+	// interval between two calls of a node that gets no answer.
 	AwayKept = 2 * time.Second
-	// VouchFresh is how lately a node must have spoken to vouch for the holder: longer
-	// than the pause between two reports, and shorter, by the time that a takeover needs,
-	// than the time after which a node that hears nothing of the holder no longer waits
-	// for it.
+	// VouchFresh is the maximum age of a report that the store is unreachable. It is longer than the
+	// interval between two reports. It is shorter than the time after which a node that receives
+	// nothing from the holder stops deferring to it, by the time that a takeover takes.
 	VouchFresh = 1200 * time.Millisecond
-	// vouchWait is how long a holder whose lease ran out waits for the others' word
-	// before it gives up: less than Margin, so that it has when another takes over.
-	vouchWait = 500 * time.Millisecond
-	// doubtAfter is how long an append may be without an answer before the others are
-	// asked whether they reach the store: longer than a slow store takes (350 ms at most
-	// on the deployments known).
-	doubtAfter = 400 * time.Millisecond
-	// doubtFresh is how long a failed call counts as the store's present state.
-	doubtFresh = time.Second
-	// wordKept is how long a silent node counts as one that may take the lease: it may be
-	// cut off from the holder only. A node that lives on unheard for longer, and is the
-	// first to reach the store again, is the risk that is left.
-	wordKept = AwayLimit
-	// FirstSettled is how long the first holder ever waits for the word of all others,
-	// which start with it: several reports.
+	// reportWait is how long a holder whose lease expired waits for the other nodes' reports before it
+	// steps down. It is shorter than Margin, so that the holder has stopped before another node
+	// takes over.
+	reportWait = 500 * time.Millisecond
+	// appendSlowAfter is how long an append may wait for its answer before the holder asks the other nodes
+	// whether they reach the store. It is longer than a slow store takes (350 ms at most on the
+	// known deployments).
+	appendSlowAfter = 400 * time.Millisecond
+	// failureFresh is how long a failed call counts as the store's current state.
+	failureFresh = time.Second
+	// silenceLimit is how long a node without reports still counts as one that may take the lease, since it
+	// may be partitioned from the holder only. The remaining risk is a node that runs unheard for
+	// longer and is the first to reach the store again.
+	silenceLimit = AwayLimit
+	// FirstSettled is how long the first holder of a new log waits for reports of all other nodes,
+	// which start at the same time. It covers several report intervals.
 	FirstSettled = 3 * time.Second
 )
 
-// Word is what a node last told the holder.
+// Word is a node's latest report to the holder about its own access to the store.
 type Word struct {
 	At time.Time
-	// StoreAway is true where the node gets no answer of the store either, and no append
-	// of its own may be carried out later.
+	// StoreAway is true if the node gets no answer from the store either, and no append of its own may
+	// still take effect.
 	StoreAway bool
-	// Stopping is true once the node ends; it takes no lease any more.
+	// Stopping is true if the node is shutting down; it takes the lease no more.
 	Stopping bool
 }
 
-// Verdict is what a holder does when its lease has run out.
+// Verdict is the decision of a holder whose lease has expired.
 type Verdict int
 
 const (
-	// GiveUp is the verdict where another node may have taken the lease.
+	// GiveUp means to step down: another node may have taken the lease.
 	GiveUp Verdict = iota
-	// Pause is the verdict while the others' word may still come.
+	// Pause means to send no orders while reports of other nodes may still arrive.
 	Pause
-	// GoOn is the verdict where nobody else can have taken the lease.
+	// GoOn means to continue sending orders: no other node can have taken the lease.
 	GoOn
 )
 
-// Outage decides whether a holder goes on ordering engines although its lease ran out,
-// because the store is away. Engines that check fences refuse the holder once they have
-// seen another's, so that it is enough that half of the nodes still follow. Otherwise
-// every node must say that it gets no answer of the store either. It is not safe for
-// concurrent use.
+// Outage decides whether a holder continues to send orders after its lease expired because the store is
+// unreachable. Engines that check fencing numbers refuse a holder once they have seen a higher number,
+// so with them it is enough that half of the nodes still follow. Without them every node that may take
+// the lease must report that it gets no answer from the store either. It is not safe for concurrent use.
 type Outage struct {
 	fenced bool
 	self   string
-	// words are what the nodes last said, and known when each was last heard of, by its
-	// own word or by the former holder's record.
-	words map[string]Word
-	known map[string]time.Time
-	// completeAt is when all nodes that may take the lease are known: at once where the
-	// former holder named them, else once each had time to speak.
+	// latestReports holds the latest report of each node. lastSeen holds when each node was last known to run, by
+	// its own report or by the previous holder's record.
+	latestReports map[string]Word
+	lastSeen      map[string]time.Time
+	// completeAt is when all nodes that may take the lease are known: immediately if the previous
+	// holder named them, else once each has had time to report.
 	completeAt time.Time
 	// actedAt is when this node last acted as the holder.
 	actedAt time.Time
-	// heard is how many nodes followed when this node last had the lease.
-	heard int
-	// failedAt is when a call to the store last failed.
+	// followers is the number of followers when this node last renewed its lease.
+	followers int
+	// failedAt is when a call to the store last failed; zero if none did.
 	failedAt time.Time
-	// vouchedAt is when all others last said that the store is away.
-	vouchedAt time.Time
+	// confirmedAt is when the reports last showed that no node reaches the store.
+	confirmedAt time.Time
 }
 
-// NewOutage returns what a node knows that has heard of nobody. Fenced is true where
-// engines check fences.
+// NewOutage returns the state of a node that has received no reports. Fenced is true if engines check
+// fencing numbers.
 func NewOutage(self string, fenced bool) *Outage {
-	return &Outage{self: self, fenced: fenced, words: make(map[string]Word), known: make(map[string]time.Time)}
+	return &Outage{self: self, fenced: fenced, latestReports: make(map[string]Word), lastSeen: make(map[string]time.Time)}
 }
 
-// Gained notes that this node has taken the lease.
+// Gained records that this node has taken the lease.
 func (o *Outage) Gained(l *Lease, now time.Time) {
 	switch {
 	case l.fence == FirstFence:
 		o.completeAt = now.Add(FirstSettled)
 	case l.former.Nodes == nil:
-		o.completeAt = now.Add(wordKept)
+		o.completeAt = now.Add(silenceLimit)
 	default:
 		o.completeAt = now
 	}
 	for _, n := range l.former.Nodes {
-		o.learn(n, now)
+		o.markSeen(n, now)
 	}
-	// The former holder was last heard of by its record, unless nobody could write.
+	// The previous holder was last known to run when its record was read. If that was more than twice
+	// the TTL ago, nobody could write in between, and it may have run for longer.
 	lastWord := now.Add(-2 * TTL)
 	if l.formerAt.After(lastWord) {
 		lastWord = l.formerAt
 	}
-	o.learn(l.former.Holder, lastWord)
+	o.markSeen(l.former.Holder, lastWord)
 	o.Acting(now)
 	o.Renewed(now)
 }
 
-// learn notes that a node was known to live at a moment.
-func (o *Outage) learn(node string, at time.Time) {
-	if node != "" && node != o.self && o.known[node].Before(at) {
-		o.known[node] = at
+// markSeen records that a node was known to run at a time.
+func (o *Outage) markSeen(node string, at time.Time) {
+	if node != "" && node != o.self && o.lastSeen[node].Before(at) {
+		o.lastSeen[node] = at
 	}
 }
 
-// Others returns the nodes that may take the lease, for its record; nil where not all
-// are known, or engines check fences.
+// Others returns the sorted names of the other nodes that may take the lease, for [Lease.Begin]. It
+// returns nil if not all are known yet, or if engines check fencing numbers.
 func (o *Outage) Others(now time.Time) []string {
 	if o.fenced || o.completeAt.IsZero() || now.Before(o.completeAt) {
 		return nil
 	}
 	out := []string{}
-	for n, at := range o.known {
-		if now.Sub(at) <= wordKept && !o.words[n].Stopping {
+	for n, at := range o.lastSeen {
+		if now.Sub(at) <= silenceLimit && !o.latestReports[n].Stopping {
 			out = append(out, n)
 		}
 	}
@@ -134,80 +134,82 @@
 	return out
 }
 
-// Heard notes a node's word.
+// Heard records a report of a node.
 func (o *Outage) Heard(node string, w Word) {
-	o.words[node], o.known[node] = w, w.At
+	o.latestReports[node], o.lastSeen[node] = w, w.At
 }
 
-// Failed notes that a call to the store got no answer.
+// Failed records that a call to the store got no answer.
 func (o *Outage) Failed(now time.Time) { o.failedAt = now }
 
-// FailedLately reports whether a call to the store failed a short time ago.
+// FailedLately reports whether a call to the store failed within AwayKept.
 func (o *Outage) FailedLately(now time.Time) bool {
 	return !o.failedAt.IsZero() && now.Sub(o.failedAt) <= AwayKept
 }
 
-// Acting notes that this node acts under its lease.
+// Acting records that this node acts as the holder. Decide uses it to detect that the process was suspended.
 func (o *Outage) Acting(now time.Time) { o.actedAt = now }
 
-// Renewed notes that this node renewed its lease.
+// Renewed records that this node renewed its lease, and removes nodes that have been silent for longer
+// than silenceLimit.
 func (o *Outage) Renewed(now time.Time) {
-	o.heard = o.following(now)
-	for n, at := range o.known {
-		if now.Sub(at) > wordKept {
-			delete(o.known, n)
-			delete(o.words, n)
+	o.followers = o.following(now)
+	for n, at := range o.lastSeen {
+		if now.Sub(at) > silenceLimit {
+			delete(o.lastSeen, n)
+			delete(o.latestReports, n)
 		}
 	}
 }
 
-// Doubts reports whether this node gets no answer of the store, and asks the others
-// whether they do.
+// Doubts reports whether this node currently gets no answer from the store, so that it must ask the
+// other nodes whether they do.
 func (o *Outage) Doubts(l *Lease, now time.Time) bool {
-	return l.unanswered(now) > doubtAfter || !o.failedAt.IsZero() && now.Sub(o.failedAt) < doubtFresh
+	return l.appendAge(now) > appendSlowAfter || !o.failedAt.IsZero() && now.Sub(o.failedAt) < failureFresh
 }
 
-// Decide returns what the holder does whose lease has run out, and why. It is to be asked
-// all the time: a node that stood still does not know for how long the others were silent.
+// Decide returns what the holder does after its lease has expired, and the reason for the log. It has to
+// be called continuously: after a gap of more than VouchFresh the process was suspended and cannot know
+// for how long the other nodes were silent, so it steps down unless engines check fencing numbers.
 func (o *Outage) Decide(l *Lease, now time.Time) (v Verdict, why string) {
-	stood := now.Sub(o.actedAt) > VouchFresh
+	suspended := now.Sub(o.actedAt) > VouchFresh
 	o.actedAt = now
 	switch {
-	case !l.outlasts(now):
+	case !l.mayOutlast(now):
 		return GiveUp, "the lease ran out long ago, or another holder is known"
 	case !o.FailedLately(now) && (o.fenced || !o.Doubts(l, now)):
 		return GiveUp, "the store answers"
-	case o.fenced && 2*o.following(now) >= o.heard:
+	case o.fenced && 2*o.following(now) >= o.followers:
 		return GoOn, "half of the nodes follow"
 	case o.fenced:
 		return GiveUp, "fewer than half of the nodes follow"
-	case stood:
+	case suspended:
 		return GiveUp, "this node stood still"
 	case now.Before(o.completeAt):
 		return GiveUp, "not all nodes that may take the lease are known"
 	}
-	doubted := o.doubted(now)
+	unconfirmed := o.unconfirmed(now)
 	switch {
 	case !o.FailedLately(now):
-		doubted = o.self
-	case doubted == "":
-		o.vouchedAt = now
+		unconfirmed = o.self
+	case unconfirmed == "":
+		o.confirmedAt = now
 		return GoOn, "no node reaches the store"
 	}
 	since := l.heldUntil
-	if o.vouchedAt.After(since) {
-		since = o.vouchedAt
+	if o.confirmedAt.After(since) {
+		since = o.confirmedAt
 	}
-	if o.Doubts(l, now) && now.Sub(since) < vouchWait {
-		return Pause, doubted + " has not said that it does not reach the store"
+	if o.Doubts(l, now) && now.Sub(since) < reportWait {
+		return Pause, unconfirmed + " has not said that it does not reach the store"
 	}
-	return GiveUp, doubted + " may have reached the store"
+	return GiveUp, unconfirmed + " may have reached the store"
 }
 
-// following returns how many nodes were heard lately.
+// following returns the number of nodes with a recent report.
 func (o *Outage) following(now time.Time) int {
 	n := 0
-	for _, w := range o.words {
+	for _, w := range o.latestReports {
 		if !w.Stopping && now.Sub(w.At) <= FollowFresh {
 			n++
 		}
@@ -215,14 +217,14 @@
 	return n
 }
 
-// doubted returns a node that may have taken the lease; "" if none can have: every node
-// that may, and that was heard of lately, gets no answer of the store. A node that is
-// silent may have reached it.
-func (o *Outage) doubted(now time.Time) string {
-	for node, at := range o.known {
-		w := o.words[node]
-		says := w.Stopping || w.StoreAway && now.Sub(w.At) <= VouchFresh
-		if !says && now.Sub(at) <= wordKept {
+// unconfirmed returns the name of a node that may have taken the lease; "" if none can have, because every
+// node that was known to run recently has reported that it gets no answer from the store. A node
+// without a recent report may have reached the store.
+func (o *Outage) unconfirmed(now time.Time) string {
+	for node, at := range o.lastSeen {
+		w := o.latestReports[node]
+		confirmed := w.Stopping || w.StoreAway && now.Sub(w.At) <= VouchFresh
+		if !confirmed && now.Sub(at) <= silenceLimit {
 			return node
 		}
 	}
--- a/core/lease/outage_test.go
+++ b/core/lease/outage_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// TestVouched checks that a holder goes on without its lease only while every node that
-// may take it says that it cannot.
-func TestVouched(t *testing.T) {
+// TestUnconfirmed checks that a holder continues after its lease expired only while every node that may
+// take the lease reports that it does not reach the store.
+func TestUnconfirmed(t *testing.T) {
 	now := at(60_000)
-	lately, longAgo := now.Add(-VouchFresh-1), now.Add(-wordKept-1)
+	lately, longAgo := now.Add(-VouchFresh-1), now.Add(-silenceLimit-1)
 	away := Word{At: now.Add(-time.Second), StoreAway: true}
 	tests := []struct {
 		name  string
 		words map[string]Word
-		// told are the nodes that only the former holder's record named.
+		// told holds the nodes that only the previous holder's record names, and when they were last known.
 		told map[string]time.Time
 		want bool
 	}{
@@ -37,64 +37,64 @@
 		for n, w := range test.words {
 			o.Heard(n, w)
 		}
-		maps.Copy(o.known, test.told)
-		if got := o.doubted(now); (got == "") != test.want {
-			t.Errorf("%s: %q is doubted, want nobody %t", test.name, got, test.want)
+		maps.Copy(o.lastSeen, test.told)
+		if got := o.unconfirmed(now); (got == "") != test.want {
+			t.Errorf("%s: node that may have reached the store = %q, want none: %t", test.name, got, test.want)
 		}
 	}
 }
 
-// TestTrying checks that a node whose takeover got no answer says so until it has read
-// the topic again: the record may be carried out later.
-func TestTrying(t *testing.T) {
+// TestTakeoverPending checks that a takeover without an answer counts as pending until the topic is read
+// again, since its record may take effect later.
+func TestTakeoverPending(t *testing.T) {
 	l := New(rec("b"), 0)
 	l.Fold(0, rec("a"), at(0))
 	l.CaughtUp(1, at(0))
 	l.Begin(at(3000), nil)
 	l.Failed(at(4500))
 	if !l.Trying() {
-		t.Error("after a takeover without an answer: not trying, want trying")
+		t.Error("after a takeover without an answer: Trying = false, want true")
 	}
 	l.CaughtUp(1, at(5000))
 	if l.Trying() {
-		t.Error("after a read: trying, want not")
+		t.Error("after a read: Trying = true, want false")
 	}
 }
 
-// member is a node of the model below: what the controller does around the two state
-// machines, with its times.
+// member is a node of the model: Lease and Outage with the reads, reports and intervals that the
+// controller adds to them.
 type member struct {
 	*Lease
 	outage *Outage
-	// held is true while it acts as the holder, and mayUntil how long it may order.
-	held     bool
-	mayUntil time.Time
-	// heardAt is when it last heard of a holder, doubted whether that one doubts the store.
+	// held is true while the node acts as the holder; orderUntil is until when it may send orders.
+	held       bool
+	orderUntil time.Time
+	// heardAt is when it last received the holder's feed; doubted is true if that holder doubted the store.
 	heardAt time.Time
 	doubted bool
-	// scoutFailedAt is when its read of the topic last failed; zero after a good one.
-	scoutFailedAt time.Time
-	// readAfter and reportAfter are when it reads and reports next.
+	// readFailedAt is when its read of the topic last failed; zero after a successful read.
+	readFailedAt time.Time
+	// readAfter and reportAfter are the earliest times of its next read and report.
 	readAfter, reportAfter time.Time
-	// frozen and cutOff are until when it stands still and does not reach the store.
+	// frozen is until when its process is suspended, cutOff until when it does not reach the store.
 	frozen, cutOff time.Time
 }
 
-// outages is a log, and nodes that lose it, each other and their time.
-type outages struct {
-	world
+// outageModel models a log and nodes that may lose contact to it and to each other, or be suspended.
+type outageModel struct {
+	logModel
 	members []*member
-	// silent is until when two nodes do not hear of each other.
-	silent map[[2]int]time.Time
-	// quietUntil is until when no node falls silent again.
+	// partitioned is until when two nodes, by their indexes, are partitioned from each other.
+	partitioned map[[2]int]time.Time
+	// quietUntil is until when no further suspension, restart or partition begins.
 	quietUntil time.Time
-	// ordered is the highest fence that an engine has seen.
+	// ordered is the highest fencing number of the orders so far.
 	ordered uint64
-	// outlasted counts the orders under a lease that had run out.
+	// outlasted counts decisions to continue under an expired lease.
 	outlasted int
 }
 
-// Times of the nodes in the model: those of the controller.
+// Intervals of the nodes in the model, equal to those of the controller.
 const (
 	modelStep        = 50 * time.Millisecond
 	modelReport      = 300 * time.Millisecond
@@ -103,14 +103,14 @@
 	modelAwayStep    = 300 * time.Millisecond
 )
 
-// TestOutageOneHolder plays outages of the store for all and for some, late appends, cuts
-// between nodes, freezes and restarts, where engines check no fences, and expects that no
-// order under a lower fence follows one under a higher one.
+// TestOutageOneHolder runs random schedules of store outages for all or some nodes, late appends,
+// partitions between nodes, suspensions and restarts, with engines that check no fencing numbers. No
+// order under a lower fencing number may follow one under a higher number.
 func TestOutageOneHolder(t *testing.T) {
 	outlasted := 0
 	rapid.Check(t, func(t *rapid.T) {
 		const n, steps, calm = 3, 800, 90
-		w := &outages{world: world{now: start}, silent: make(map[[2]int]time.Time)}
+		w := &outageModel{logModel: logModel{now: start}, partitioned: make(map[[2]int]time.Time)}
 		for i := range n {
 			w.nodes, w.read, w.readEra, w.frozen = append(w.nodes, nil), append(w.read, 0), append(w.readEra, 0), append(w.frozen, time.Time{})
 			w.members = append(w.members, nil)
@@ -121,7 +121,7 @@
 			if step > calm {
 				w.disturb(t, step)
 			}
-			w.arrive()
+			w.executeDue()
 			for i, m := range w.members {
 				if w.now.After(m.frozen) {
 					w.act(t, i)
@@ -131,11 +131,11 @@
 		outlasted += w.outlasted
 	})
 	if outlasted == 0 {
-		t.Error("no order was ever given without a lease: the model shows nothing")
+		t.Error("no holder continued after its lease expired: the schedules do not cover outages")
 	}
 }
 
-func (w *outages) restart(i, life int) {
+func (w *outageModel) restart(i, life int) {
 	delay := time.Duration(i) * 100 * time.Millisecond
 	m := &member{Lease: New(Record{Holder: fmt.Sprint(i), Life: fmt.Sprint(life)}, delay), outage: NewOutage(fmt.Sprint(i), false)}
 	if old := w.members[i]; old != nil {
@@ -144,8 +144,8 @@
 	w.members[i], w.nodes[i], w.read[i] = m, m.Lease, 0
 }
 
-// disturb begins some trouble, now and then.
-func (w *outages) disturb(t *rapid.T, step int) {
+// disturb starts a random fault in one of 30 steps.
+func (w *outageModel) disturb(t *rapid.T, step int) {
 	if rapid.IntRange(0, 29).Draw(t, "trouble") != 0 {
 		return
 	}
@@ -153,7 +153,7 @@
 	until := w.now.Add(time.Duration(rapid.IntRange(1, 240).Draw(t, "steps")) * modelStep)
 	kind := rapid.IntRange(0, 6).Draw(t, "kind")
 	if kind >= 4 {
-		// No node lives on unheard for as long as wordKept.
+		// Keep every silence shorter than silenceLimit, the bound that Outage assumes.
 		if w.now.Before(w.quietUntil) {
 			return
 		}
@@ -173,15 +173,15 @@
 		w.restart(i, step)
 	case 6:
 		j := (i + 1) % len(w.members)
-		w.silent[[2]int{min(i, j), max(i, j)}] = until
+		w.partitioned[[2]int{min(i, j), max(i, j)}] = until
 	}
 }
 
-// holder returns the node that another one reaches as its holder.
-func (w *outages) holder(i int) *member {
+// holder returns the node that node i knows and reaches as the holder; nil if there is none.
+func (w *outageModel) holder(i int) *member {
 	r, _ := w.members[i].Holder()
 	for j, m := range w.members {
-		cut := w.silent[[2]int{min(i, j), max(i, j)}]
+		cut := w.partitioned[[2]int{min(i, j), max(i, j)}]
 		if j != i && m.self.SameLife(r) && m.held && w.now.After(cut) && w.now.After(m.frozen) {
 			return m
 		}
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// act is one turn of a node.
-func (w *outages) act(t *rapid.T, i int) {
+// act runs one step of a node.
+func (w *outageModel) act(t *rapid.T, i int) {
 	m := w.members[i]
 	h := w.holder(i)
 	if h != nil && !m.held {
@@ -202,7 +202,7 @@
 	}
 	w.readTopic(i)
 	if h != nil && !m.held && w.now.After(m.reportAfter) {
-		away := !m.scoutFailedAt.IsZero() && w.now.Sub(m.scoutFailedAt) <= VouchFresh && !m.Trying()
+		away := !m.readFailedAt.IsZero() && w.now.Sub(m.readFailedAt) <= VouchFresh && !m.Trying()
 		h.outage.Heard(fmt.Sprint(i), Word{At: w.now, StoreAway: away})
 		m.reportAfter = w.now.Add(modelReport)
 	}
@@ -210,13 +210,13 @@
 	w.order(m)
 }
 
-// named reports whether a holder names a node its successor.
-func (w *outages) named(i int, h *member) bool {
+// named reports whether the holder h has named node i its successor.
+func (w *outageModel) named(i int, h *member) bool {
 	return w.members[(i+1)%len(w.members)] == h
 }
 
-// readTopic reads the topic where the node does not rely on the holder.
-func (w *outages) readTopic(i int) {
+// readTopic reads the topic if the node cannot rely on the holder's feed.
+func (w *outageModel) readTopic(i int) {
 	m := w.members[i]
 	fed := w.now.Sub(m.heardAt) <= modelHolderFresh && !m.doubted
 	if fed && !m.held || w.now.Before(m.readAfter) {
@@ -225,17 +225,17 @@
 	m.readAfter = w.now.Add(modelRead)
 	if w.now.Before(m.cutOff) {
 		m.outage.Failed(w.now)
-		m.scoutFailedAt = w.now
+		m.readFailedAt = w.now
 		return
 	}
 	w.catchUp(i)
-	if !m.scoutFailedAt.IsZero() {
-		m.scoutFailedAt, m.reportAfter = time.Time{}, w.now
+	if !m.readFailedAt.IsZero() {
+		m.readFailedAt, m.reportAfter = time.Time{}, w.now
 	}
 }
 
-// keepLease renews or takes the lease, and decides whether to go on without it.
-func (w *outages) keepLease(t *rapid.T, i int) {
+// keepLease renews or takes the lease, and decides whether to continue after it expired.
+func (w *outageModel) keepLease(t *rapid.T, i int) {
 	m := w.members[i]
 	kept := !m.held && w.now.Sub(m.heardAt) <= modelHolderFresh && m.outage.FailedLately(w.now)
 	if !kept && m.Wants(w.now) {
@@ -245,23 +245,23 @@
 	switch {
 	case held && !m.held:
 		m.outage.Gained(m.Lease, w.now)
-		m.mayUntil = m.Until()
+		m.orderUntil = m.Until()
 	case held:
-		m.mayUntil = m.Until()
+		m.orderUntil = m.Until()
 		m.outage.Acting(w.now)
 		m.outage.Renewed(w.now)
 	case m.held:
 		verdict, _ := m.outage.Decide(m.Lease, w.now)
 		held = verdict != GiveUp
 		if verdict == GoOn {
-			m.mayUntil = w.now.Add(modelAwayStep)
+			m.orderUntil = w.now.Add(modelAwayStep)
 			w.outlasted++
 		}
 	}
 	m.held = held
 }
 
-func (w *outages) tryAppend(t *rapid.T, i int) {
+func (w *outageModel) tryAppend(t *rapid.T, i int) {
 	m := w.members[i]
 	rec := m.Begin(w.now, m.outage.Others(w.now))
 	if w.now.Before(m.cutOff) {
@@ -276,28 +276,28 @@
 	w.pending = append(w.pending, pendingAppend{i, int(m.End()), rec, w.now, true})
 }
 
-// order gives an order if the node may, and checks its fence.
-func (w *outages) order(m *member) {
-	if !m.held || !w.now.Before(m.mayUntil) {
+// order sends an order if the node may, and panics if its fencing number is lower than an earlier one.
+func (w *outageModel) order(m *member) {
+	if !m.held || !w.now.Before(m.orderUntil) {
 		return
 	}
 	_, fence := m.Holder()
 	if fence < w.ordered {
-		panic(fmt.Sprintf("an order under fence %d after one under %d", fence, w.ordered))
+		panic(fmt.Sprintf("order under fencing number %d follows one under %d", fence, w.ordered))
 	}
 	w.ordered = fence
 }
 
-// TestDecide checks what a holder does whose lease ran out while the store is away.
+// TestDecide checks the decision of a holder whose lease expired while the store is unreachable.
 func TestDecide(t *testing.T) {
 	tests := []struct {
 		name string
-		// word is what the only other node said 100 ms ago; nil if it is silent.
+		// word is the only other node's report of 100 ms ago; nil if it is silent.
 		word *Word
-		// stood is how long this node stood still.
+		// stood is how long this node was suspended.
 		stood time.Duration
-		// failed is how long ago a call to the store failed, after how long from the end
-		// of the lease it decides.
+		// failed is how long before the decision a call to the store failed; after is the time from
+		// the end of the lease to the decision.
 		failed, after time.Duration
 		fenced        bool
 		want          Verdict
--- a/core/view/view.go
+++ b/core/view/view.go
@@ -1,6 +1,8 @@
-// Package view holds what traffic reads: an immutable picture of what is
-// decided and known, made by the control goroutine and published by one atomic
-// pointer, so that no request ever waits for a decision's lock.
+// Package view provides the snapshot of the routing state that request handling reads: which endpoints serve
+// which unit or service, and the configuration.
+//
+// The control goroutine builds a [View] from the ledger and the state of the endpoints with a [Builder], and
+// publishes it through one atomic pointer, so that no request waits for a lock. A published view is immutable.
 package view
 
 import (
@@ -13,57 +15,57 @@
 	"olivetiller/core/plan"
 )
 
-// Endpoint is one place that takes requests.
+// Endpoint is an engine or a service instance that takes requests.
 type Endpoint struct {
-	// Name is the engine's or service instance's name.
+	// Name is the name of the engine or the service instance.
 	Name    string
 	Address string
 	Hall    string
-	// Version is the unit's version there; empty for a plain service.
+	// Version is the version of the unit that the endpoint serves; empty for a plain service.
 	Version string
-	// Start is when it started, in Unix milliseconds by its own clock; 0 where it does not tell.
+	// Start is when the endpoint's process started, in Unix milliseconds by its own clock; 0 if unknown.
 	Start int64
-	// Incarnation tells a replaced endpoint from the one before.
+	// Incarnation distinguishes a restarted or replaced endpoint from its predecessor of the same name.
 	Incarnation uint64
-	// Concurrency is how many requests it runs at once, for all nodes together.
+	// Concurrency is the number of requests that the endpoint processes concurrently, over all nodes.
 	Concurrency int
-	// ColdUntil is until when it takes but ColdRate requests a second from all nodes together; a past time where
-	// it is warm.
+	// ColdUntil is until when the endpoint takes at most ColdRate requests a second, over all nodes; a time
+	// in the past if it is warm.
 	ColdUntil time.Time
 	ColdRate  float64
 }
 
-// Cold reports whether the endpoint is cold at a moment.
+// Cold reports whether the endpoint is cold at now, so that ColdRate limits its requests.
 func (e *Endpoint) Cold(now time.Time) bool { return e.ColdRate > 0 && now.Before(e.ColdUntil) }
 
-// View is the picture. Nothing in it changes once it is published.
+// View is an immutable snapshot of the routing state.
 type View struct {
-	// Ready nodes take requests.
+	// Ready is true if the node may take requests.
 	Ready bool
-	// Diverged nodes have folded a state that differs from the others'.
+	// Diverged is true if the node's ledger state differs from that of the other nodes.
 	Diverged bool
 	Catalog  *catalog.Catalog
 	Revision uint64
-	// NextOffset is the first offset of the log not folded in.
+	// NextOffset is the first offset of the log that is not applied yet.
 	NextOffset uint64
-	// Endpoints holds where each unit and service takes requests, by pool name.
+	// Endpoints holds the endpoints that serve each unit or service, by pool name.
 	Endpoints map[string][]Endpoint
-	// Shared holds the same for the pools that Endpoints lacks: where an endpoint serves many pools, each list points to
-	// the one copy of it.
+	// Shared holds the endpoints of the pools that are not in Endpoints, by pool name. The lists of pools with
+	// common endpoints point to the same Endpoint values.
 	Shared map[string][]*Endpoint
-	// LoadingSince holds when the load in progress of a unit was first seen.
+	// LoadingSince holds when the load in progress of each unit was first seen, by unit name.
 	LoadingSince map[string]time.Time
-	// ReadyAt holds when a unit without an endpoint is expected to have one.
+	// ReadyAt holds when each unit without an endpoint is expected to have one, by unit name.
 	ReadyAt map[string]time.Time
-	// Evacuated are the data halls whose endpoints get no requests, and Cold how many requests a second each cold
-	// endpoint takes, by name.
+	// Evacuated are the data halls whose endpoints get no requests. Cold holds the limit of each cold endpoint
+	// in requests a second, by endpoint name.
 	Evacuated []string
 	Cold      map[string]float64
-	// Live holds the live nodes in order.
+	// Live are the names of the live nodes, sorted.
 	Live []string
 }
 
-// Pool returns where a unit or service takes requests.
+// Pool returns the endpoints that serve a unit or service, by pool name; empty if there are none.
 func (v *View) Pool(name string) []Endpoint {
 	if eps, ok := v.Endpoints[name]; ok {
 		return eps
@@ -76,51 +78,51 @@
 	return out
 }
 
-// Pools returns how many pools have endpoints.
+// Pools returns the number of pools with endpoints.
 func (v *View) Pools() int { return len(v.Endpoints) + len(v.Shared) }
 
-// ServicePool is the pool name of a plain service. It cannot clash with a
-// unit's, whose names hold no slash.
+// ServicePool returns the pool name of a plain service. It cannot collide with the name of a unit, which
+// contains no slash.
 func ServicePool(name string) string { return "service/" + name }
 
-// Service is one live instance of a plain service.
+// Service is a live instance of a plain service.
 type Service struct {
 	Service string
 	Endpoint
 	Leaving bool
 }
 
-// Input is what a view is made from.
+// Input is the state from which a view is built.
 type Input struct {
 	Ledger   *ledger.State
 	Engines  map[string]*plan.Engine
 	Services []Service
-	// LoadingSince is as in View.
+	// LoadingSince is the same as [View.LoadingSince].
 	LoadingSince map[string]time.Time
 	Live         []string
 	Ready        bool
 	Diverged     bool
 }
 
-// Builder makes views, each from the one before: what did not change is shared,
-// so that a record costs what it touches and not what is loaded.
+// Builder builds views, each from its predecessor. Unchanged parts are shared, so that the cost of a change
+// depends on the pools that it touches, not on the number of loaded models. It is not safe for concurrent use.
 type Builder struct {
 	last *View
-	// touched holds the pools to work out anew; all asks for every one.
-	touched map[string]bool
-	all     bool
+	// dirty holds the pools to rebuild; all is true if every pool must be rebuilt.
+	dirty map[string]bool
+	all   bool
 }
 
-// NewBuilder returns a builder whose first view is worked out whole.
-func NewBuilder() *Builder { return &Builder{touched: make(map[string]bool), all: true} }
+// NewBuilder returns a Builder whose first view is built completely.
+func NewBuilder() *Builder { return &Builder{dirty: make(map[string]bool), all: true} }
 
-// Touch marks a unit as changed.
-func (b *Builder) Touch(unit string) { b.touched[unit] = true }
+// Touch marks a unit for the next Build.
+func (b *Builder) Touch(unit string) { b.dirty[unit] = true }
 
-// TouchAll marks everything as changed.
+// TouchAll marks all units and services for the next Build.
 func (b *Builder) TouchAll() { b.all = true }
 
-// Build makes a view and returns the pools that changed in it; nil means all.
+// Build returns a new view and the names of the pools that it rebuilt; nil means all pools.
 func (b *Builder) Build(in *Input) (v *View, changed []string) {
 	v = &View{
 		Ready: in.Ready, Diverged: in.Diverged, Catalog: in.Ledger.Catalog,
@@ -131,12 +133,12 @@
 	case b.all:
 		v.Endpoints = make(map[string][]Endpoint, len(in.Ledger.Replicas))
 		for uv := range in.Ledger.Replicas {
-			b.unit(in, v, uv.Unit)
+			b.buildUnit(in, v, uv.Unit)
 		}
-	case len(b.touched) > 0:
+	case len(b.dirty) > 0:
 		v.Endpoints = maps.Clone(b.last.Endpoints)
-		for unit := range b.touched {
-			b.unit(in, v, unit)
+		for unit := range b.dirty {
+			b.buildUnit(in, v, unit)
 			changed = append(changed, unit)
 		}
 	default:
@@ -144,15 +146,15 @@
 		changed = []string{}
 	}
 	if b.all {
-		b.services(in, v)
+		b.buildServices(in, v)
 	}
 	b.last, b.all = v, false
-	clear(b.touched)
+	clear(b.dirty)
 	return v, changed
 }
 
-// unit works out where a unit takes requests.
-func (b *Builder) unit(in *Input, v *View, name string) {
+// buildUnit sets the endpoints of a unit in v.
+func (b *Builder) buildUnit(in *Input, v *View, name string) {
 	delete(v.Endpoints, name)
 	u := in.Ledger.Catalog.Units[name]
 	if u == nil || u.Banned {
@@ -164,7 +166,7 @@
 			continue
 		}
 		for _, p := range in.Ledger.Replicas[ledger.UnitVersion{Unit: name, Version: version}] {
-			if e := in.Ledger.Engines[p.Engine]; takesWork(in, p, e) {
+			if e := in.Ledger.Engines[p.Engine]; isAvailable(in, p, e) {
 				eps = append(eps, Endpoint{
 					Name: e.Name, Address: e.Address, Hall: e.Hall, Version: version,
 					Incarnation: e.Incarnation, Concurrency: u.Concurrency,
@@ -178,8 +180,8 @@
 	}
 }
 
-// services works out where plain services take calls.
-func (b *Builder) services(in *Input, v *View) {
+// buildServices sets the endpoints of the plain buildServices in v.
+func (b *Builder) buildServices(in *Input, v *View) {
 	for _, s := range in.Services {
 		cfg := in.Ledger.Catalog.Services[s.Service]
 		if cfg == nil || s.Leaving {
@@ -197,8 +199,8 @@
 	sort.Slice(eps, func(i, j int) bool { return eps[i].Name < eps[j].Name })
 }
 
-// serves reports whether requests go to a version: the serving one, or while
-// that has no ready replica any other, so that a roll-over has no gap.
+// serves reports whether a version of a unit gets requests: the serving version, or any other configured
+// version while the serving one has no ready replica, so that a rollout causes no downtime.
 func serves(in *Input, u *catalog.Unit, version string) bool {
 	if version == u.Serving {
 		return true
@@ -211,7 +213,7 @@
 	return u.Versions[version] != 0
 }
 
-func takesWork(in *Input, p *ledger.Placement, e *ledger.Engine) bool {
+func isAvailable(in *Input, p *ledger.Placement, e *ledger.Engine) bool {
 	if p.Phase != ledger.Ready || e == nil || e.Draining {
 		return false
 	}
