--- a/core/admit/admit.go
+++ b/core/admit/admit.go
@@ -1,15 +1,15 @@
-// Package admit predicts how long a request will wait, so that one that cannot
-// make its deadline is refused at once, before anything is spent on it.
+// Package admit predicts how long a request has to wait, so that a request that cannot meet its deadline is
+// refused immediately, before any work is spent on it.
 //
-// The idea of admitting by predicted cost, and of setting the prediction beside
-// what came to pass, follows the paper on diffusion serving that the users gave
-// us (sections "Admission" and "Observability and capacity"); the model here is
-// one of loads and queues instead of denoising steps.
+// A [Model] learns the load time and the service time of one unit from observations. Its prediction,
+// [Model.AtLeast], is the remaining load time plus the service times of the requests ahead. It is a lower bound
+// that is rarely wrong, so that only requests without a chance are refused. Admission by predicted cost is known
+// from the serving of diffusion models; here the cost consists of loads and queues instead of denoising steps.
 package admit
 
 import "time"
 
-// Estimate is a mean that follows its observations, with a deviation.
+// Estimate is an exponentially weighted moving average of durations and of their absolute deviation.
 type Estimate struct {
 	mean, dev float64
 	n         int
@@ -20,7 +20,7 @@
 	devGain = 0.25
 )
 
-// Observe takes one duration in.
+// Observe adds one duration to the estimate.
 func (e *Estimate) Observe(d time.Duration) {
 	v := float64(d)
 	e.n++
@@ -36,7 +36,7 @@
 	e.dev += devGain * (diff - e.dev)
 }
 
-// Mean returns the expected duration, or fallback when nothing was observed.
+// Mean returns the mean duration, or fallback if there were no observations.
 func (e *Estimate) Mean(fallback time.Duration) time.Duration {
 	if e.n == 0 {
 		return fallback
@@ -44,9 +44,9 @@
 	return time.Duration(e.mean)
 }
 
-// Low returns a duration that the next one will hardly fall below. Admission
-// uses it, so that a request is refused only when it is hopeless, not when it
-// is merely doubtful.
+// Low returns a lower bound that the next duration rarely falls below: the mean less two deviations, or 0 with
+// fewer than two observations. Admission uses it, so that a request is refused only if it has no chance, and
+// not if it is merely unlikely to meet its deadline.
 func (e *Estimate) Low() time.Duration {
 	if e.n < 2 {
 		return 0
@@ -54,27 +54,27 @@
 	return time.Duration(max(0, e.mean-2*e.dev))
 }
 
-// Wait is what a request faces.
+// Wait is the state of the unit that a request has to wait for.
 type Wait struct {
-	// Ready is true when a replica is loaded.
+	// Ready is true if a replica of the unit is loaded.
 	Ready bool
-	// Ahead is how many requests wait before it.
+	// Ahead is the number of requests that wait before this one.
 	Ahead int
-	// Capacity is how many requests run at once, at least 1.
+	// Capacity is the number of requests that run concurrently, at least 1.
 	Capacity int
-	// LoadElapsed is how long the load in progress has run.
+	// LoadElapsed is how long the load in progress has taken so far.
 	LoadElapsed time.Duration
 }
 
-// Model holds what was learned about one unit.
+// Model holds the learned durations of one unit.
 type Model struct {
-	// Load is how long a load takes from demand to ready.
+	// Load is the duration of a load, from demand to ready.
 	Load Estimate
-	// Serve is how long an answer takes at the engine.
+	// Serve is the duration of an answer at the engine.
 	Serve Estimate
 }
 
-// AtLeast returns a time before which the request will hardly begin.
+// AtLeast returns a lower bound of the time until the request can start.
 func (m *Model) AtLeast(w Wait) time.Duration {
 	var d time.Duration
 	if !w.Ready {
--- a/core/choose/choose.go
+++ b/core/choose/choose.go
@@ -1,82 +1,79 @@
-// Package choose picks the replica that a request goes to.
+// Package choose selects the replica that a request is sent to.
 //
-// The problem: load reports lag, nodes do not see each other's work, and a
-// replica that just woke must not get every waiting request at once. The model:
-// a node knows exactly only its own outstanding work, so that leads; the
-// engine's own word, which rides on its answers, corrects it while fresh. Each
-// replica has a [Window] per node that bounds the node's work there: it opens
-// while answers come and closes when the engine says that it is full. Windows
-// begin small, which is the slow start of a fresh replica, and meet at a fair
-// share without a message between nodes, as congestion windows do.
+// Load reports are delayed, nodes do not see each other's requests, and a replica that has just started must not
+// get all waiting requests at once. A node knows exactly only its own outstanding requests at a replica, so the
+// choice is based on them; the load that engines report with their answers corrects it while it is fresh. In
+// addition each node has a [Window] for each replica, which bounds the node's requests there. It grows as answers
+// arrive and shrinks when the engine refuses work because it is full. Windows start small, which is the slow start
+// of a new replica. They converge to a fair share without messages between nodes, as the congestion windows of TCP
+// do. A [Health] per replica ejects the replica while it fails.
 package choose
 
 import "time"
 
-// Replica is what a node knows of one replica it may send to.
+// Replica is the state of a candidate replica, as one node knows it, for one request.
 type Replica struct {
 	// Engine names the engine.
 	Engine string
-	// SameHall is true for an engine in the node's own data hall.
+	// SameHall is true if the engine is in the node's own data hall.
 	SameHall bool
-	// Running is the node's own outstanding work there.
+	// Running is the number of the node's own outstanding requests there.
 	Running int
-	// Prompts is the length of the node's own prompts there that were not read yet,
-	// in tokens.
+	// Prompts is the total length, in tokens, of the prompts that the node has sent there and that
+	// have not been read yet.
 	Prompts int
-	// Reported is the load that the engine last told, all nodes' work together.
+	// Reported is the load that the engine reported last: the requests of all nodes.
 	Reported int
-	// ReportedAt is when it told it; zero if never.
+	// ReportedAt is when that load was reported; zero if it never was.
 	ReportedAt time.Time
-	// Window bounds the node's own work there.
+	// Window bounds the node's own requests there.
 	Window *Window
-	// Health is the replica's recent record; nil means good.
+	// Health tracks recent failures of the replica; nil means healthy.
 	Health *Health
-	// Avoid marks a replica that just failed the request: it is the last resort.
+	// Avoid is true if the replica has just failed this request. It is chosen only as the last resort.
 	Avoid bool
-	// Shut marks a replica that wants nothing now, by its own word.
+	// Shut is true if the replica has reported that it takes no requests now.
 	Shut bool
-	// Suspects is the node's own outstanding work there under which engines may end.
+	// Suspects is the number of the node's own outstanding requests there that are suspected of crashing engines.
 	Suspects int
-	// Apart marks a request that is such a suspect itself, and Spread is a number that its
-	// replicas differ in, in another order for each suspect.
+	// Apart is true if this request itself is such a suspect. Spread is then a number that differs
+	// between its replicas and orders them differently for each suspect.
 	Apart  bool
 	Spread uint64
-	// Home marks the replica that most likely keeps the beginning of the prompt.
+	// Home is true if the replica is the one most likely to have the beginning of the prompt in its cache.
 	Home bool
 }
 
-// reportLife is how long an engine's word on its load is worth using.
-const reportLife = 2 * time.Second
+// reportTTL is how long a reported load is used.
+const reportTTL = 2 * time.Second
 
-// hallPenalty is the load by which an engine in another data hall counts as
-// busier: its extra latency is worth about one request in progress.
+// hallPenalty is the load added to an engine in another data hall. The extra latency is worth about one
+// request in progress.
 const hallPenalty = 1
 
-// promptTokens is the length of an unread prompt that weighs as much as a request
-// in progress: reading delays every stream of the engine, while a further stream
-// hardly does.
-const promptTokens = 150
+// promptTokensPerLoad is the length of unread prompts that counts as one request in progress. Reading a prompt delays
+// every stream of the engine, while a further stream hardly does.
+const promptTokensPerLoad = 150
 
-// homeBonus is the load by which a replica that keeps the beginning of the prompt
-// may be busier than another.
-const homeBonus = 2
+// cacheBonus is the load subtracted for the replica that likely has the beginning of the prompt in its cache.
+const cacheBonus = 2
 
-// Weights of suspects, requests under which engines may end.
+// Weights of suspects, which are requests suspected of crashing engines.
 const (
-	// apartPenalty is the load by which a replica with a suspect counts as busier for another one:
-	// two at one engine's end cannot be told apart.
-	apartPenalty = 1 << 12
-	// besidePenalty is the same for all other requests: they end with the engine.
-	besidePenalty = 4
-	// spreadLoad is by how much load the choice of a suspect varies, so that those of several nodes
-	// go to several engines.
-	spreadLoad = 4
+	// suspectPenalty is the load added per suspect at a replica if the request is a suspect itself: after a crash
+	// with two of them it is unknown which one caused it.
+	suspectPenalty = 1 << 12
+	// riskPenalty is the load added per suspect for all other requests, which would fail with the engine.
+	riskPenalty = 4
+	// suspectSpread is the range of the load added to spread suspects, so that suspects from several nodes go to
+	// different engines.
+	suspectSpread = 4
 )
 
-// avoidPenalty exceeds any load.
+// avoidPenalty is the load added for Avoid. It exceeds any real load.
 const avoidPenalty = 1 << 20
 
-// Pick returns the index of the best replica with room, or -1.
+// Pick returns the index of the replica with the least score among those that admit a request now, or -1.
 func Pick(replicas []Replica, now time.Time) int {
 	best := -1
 	var bestScore int
@@ -92,66 +89,65 @@
 	return best
 }
 
-// score is the load to expect at the replica.
+// score returns the load of the replica including all penalties.
 func (r *Replica) score(now time.Time) int {
 	load := r.Running
-	if now.Sub(r.ReportedAt) < reportLife {
+	if now.Sub(r.ReportedAt) < reportTTL {
 		load = max(load, r.Reported)
 	}
 	if !r.SameHall {
 		load += hallPenalty
 	}
-	load += r.Prompts / promptTokens
+	load += r.Prompts / promptTokensPerLoad
 	if r.Home {
-		load -= homeBonus
+		load -= cacheBonus
 	}
 	if r.Avoid {
 		load += avoidPenalty
 	}
 	if r.Apart {
-		return load + r.Suspects*apartPenalty + int(r.Spread%spreadLoad)
+		return load + r.Suspects*suspectPenalty + int(r.Spread%suspectSpread)
 	}
-	return load + r.Suspects*besidePenalty
+	return load + r.Suspects*riskPenalty
 }
 
-// Window bounds one node's work at one replica, by additive increase and
-// multiplicative decrease. Below one request at a time it closes for a while:
-// that is how many nodes share a replica that runs fewer requests than there
-// are nodes.
+// Window bounds the requests of one node at one replica by additive increase and multiplicative decrease. It
+// also closes for a pause after a refusal. That lets more nodes share a replica than it runs requests, since a
+// window cannot shrink below one request. It is not safe for concurrent use.
 type Window struct {
-	// size is at least 1 and at most max.
+	// size is the current bound, from 1 to max.
 	size float64
 	max  float64
-	// pause is how long the window closed last, 0 after an answer.
-	pause    time.Duration
-	closedTo time.Time
+	// pause is the length of the latest pause; 0 after an answer.
+	pause       time.Duration
+	pausedUntil time.Time
 }
 
-// Pauses of a window that is full at its least size.
+// Range of the pauses after a refusal. Each pause is twice as long as the one before.
 const (
-	firstPause = 4 * time.Millisecond
-	lastPause  = 250 * time.Millisecond
+	minPause = 4 * time.Millisecond
+	maxPause = 250 * time.Millisecond
 )
 
-// NewWindow returns a window that opens from share, a node's fair share, up to
-// limit, the replica's whole concurrency.
+// NewWindow returns a window that starts at share, the node's fair share of the replica, and grows up to limit,
+// the replica's total concurrency.
 func NewWindow(share, limit int) *Window {
 	return &Window{size: float64(max(1, share)), max: float64(max(1, limit))}
 }
 
-// HasRoom reports whether one more request fits beside running ones.
+// HasRoom reports whether the window admits one more request in addition to the running ones.
 func (w *Window) HasRoom(running int, now time.Time) bool {
-	return running < int(w.size) && !now.Before(w.closedTo)
+	return running < int(w.size) && !now.Before(w.pausedUntil)
 }
 
-// Size returns the requests that fit.
+// Size returns the number of requests that the window admits.
 func (w *Window) Size() int { return int(w.size) }
 
-// OpensAt returns when a closed window opens; a past time if it is open.
-func (w *Window) OpensAt() time.Time { return w.closedTo }
+// OpensAt returns the end of the latest pause; a time in the past if the window is open.
+func (w *Window) OpensAt() time.Time { return w.pausedUntil }
 
-// Succeeded notes an answer while running requests were out. Only a full
-// window opens, by one for each window's worth of answers.
+// Succeeded records an answer that arrived while running requests were outstanding. The window grows only if it
+// was full, by one for each window of answers.
 func (w *Window) Succeeded(running int) {
 	w.pause = 0
 	if running >= int(w.size) {
@@ -159,35 +155,36 @@
 	}
 }
 
-// Full notes that the engine refused work because it is full. Several refusals
-// within one pause count once: they tell of the same moment.
+// Full records that the engine refused a request because it is full. Refusals during a pause are ignored: they
+// are due to the same overload.
 func (w *Window) Full(now time.Time) {
-	if now.Before(w.closedTo) {
+	if now.Before(w.pausedUntil) {
 		return
 	}
 	w.size = max(1, w.size/2)
-	w.pause = min(lastPause, max(firstPause, 2*w.pause))
-	// Nodes must not come back together; their clocks' low digits differ.
+	w.pause = min(maxPause, max(minPause, 2*w.pause))
+	// Nodes must not resume at the same time. The low digits of their clocks differ.
 	spread := time.Duration(now.UnixNano()) % (w.pause/2 + 1)
-	w.closedTo = now.Add(w.pause/2 + spread)
+	w.pausedUntil = now.Add(w.pause/2 + spread)
 }
 
-// Health ejects a replica that fails and lets it back with one trial.
+// Health ejects a replica after failures and readmits it after one successful trial request. It is not safe for
+// concurrent use.
 type Health struct {
-	// failures counts those since the last answer.
+	// failures is the number of failures since the last answer.
 	failures int
-	// until is when the replica may be tried again.
+	// until is the end of the ejection.
 	until time.Time
 }
 
 const (
 	ejectAfter  = 3
-	ejectFirst  = 500 * time.Millisecond
-	ejectAtMost = 15 * time.Second
+	minEjection = 500 * time.Millisecond
+	maxEjection = 15 * time.Second
 )
 
-// Admits reports whether the replica may get a request now. After an ejection
-// it gets one at a time until one is answered.
+// Admits reports whether the replica may get a request now. After an ejection it gets one request at a time
+// until one is answered. A nil Health admits every request.
 func (h *Health) Admits(now time.Time, running int) bool {
 	if h == nil || h.failures < ejectAfter {
 		return true
@@ -195,8 +192,7 @@
 	return !now.Before(h.until) && running == 0
 }
 
-// Until returns when an ejected replica may be tried again; a past time if it
-// may be used now.
+// Until returns when an ejected replica may be tried again; zero if it is not ejected.
 func (h *Health) Until() time.Time {
 	if h.failures < ejectAfter {
 		return time.Time{}
@@ -204,32 +200,32 @@
 	return h.until
 }
 
-// Succeeded notes an answer.
+// Succeeded records an answer, which ends an ejection.
 func (h *Health) Succeeded() { h.failures = 0 }
 
-// Silent notes that the replica gave no sign within the time that an answer may
-// take, or could not be reached. One such failure ejects: the next request would
-// wait as long.
+// Silent records that the replica did not answer within the time that an answer may take, or was unreachable.
+// One such failure ejects it: the next request would wait as long.
 func (h *Health) Silent(now time.Time) {
 	h.failures = max(h.failures, ejectAfter-1)
 	h.Failed(now)
 }
 
-// Ended notes that the replica's process has ended: it is left alone until it can be back. However
-// many requests failed with it, it is one failure, and no more than the first pause.
+// Ended records that the replica's process has ended. It is ejected until it can have restarted. However many
+// requests failed with it, that counts as one failure, and ejects for no more than minEjection.
 func (h *Health) Ended(now time.Time) {
 	h.failures = max(h.failures, ejectAfter)
-	if until := now.Add(ejectFirst); until.After(h.until) {
+	if until := now.Add(minEjection); until.After(h.until) {
 		h.until = until
 	}
 }
 
-// Failed notes a failure and ejects after several in a row, longer each time.
+// Failed records a failure. From ejectAfter failures in a row on, each one ejects for twice as long as the one before,
+// up to maxEjection.
 func (h *Health) Failed(now time.Time) {
 	h.failures++
 	if h.failures < ejectAfter {
 		return
 	}
-	pause := ejectFirst << min(h.failures-ejectAfter, 5)
-	h.until = now.Add(min(pause, ejectAtMost))
+	pause := minEjection << min(h.failures-ejectAfter, 5)
+	h.until = now.Add(min(pause, maxEjection))
 }
--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -1,65 +1,64 @@
-// Package demand merges what every node reports about its waiting and running
-// requests, at the home of each unit.
+// Package demand merges the numbers of waiting and running requests that all nodes report for each unit. Its
+// table is kept by the unit's home, the node that decides on the unit's replicas.
 //
-// The problem: the home must see the demand of all nodes without a message for
-// each request, and must not act on the word of a node that has gone. The
-// model: a node reports a unit when its state changes and again before its
-// report ages; a report replaces the node's earlier one and fades after [Life].
+// The home must know the demand of all nodes without a message per request, and must not act on the reports of a
+// node that has gone. A node therefore reports a unit when its numbers change, and again before its last report
+// expires. A report replaces the previous one of the same node, and expires after [Life].
 package demand
 
 import "time"
 
-// Life is how long a report counts unless renewed.
+// Life is how long a report is valid.
 const Life = 5 * time.Second
 
-// Report is one node's word on one unit.
+// Report is the demand of one node for one unit.
 type Report struct {
 	Unit string
-	// Waiting and Running count the node's requests.
+	// Waiting and Running are the numbers of the node's requests for the unit.
 	Waiting, Running int
-	// Arrivals counts requests since the node's report before.
+	// Arrivals is the number of requests since the node's previous report.
 	Arrivals int
-	// Deadline is that of the most urgent waiting request; zero if none waits.
+	// Deadline is the earliest deadline of the waiting requests; zero if none waits.
 	Deadline time.Time
 }
 
-// Demand is the merged state of one unit.
+// Demand is the demand of all nodes for one unit.
 type Demand struct {
 	Waiting, Running int
-	// Deadline is the most urgent of all nodes; zero if none waits.
+	// Deadline is the earliest deadline of all nodes' waiting requests; zero if none waits.
 	Deadline time.Time
-	// Since is when the waiting began; zero if none waits.
+	// Since is when requests began to wait; zero if none waits.
 	Since time.Time
-	// LastUse is when a request last waited, ran or arrived.
+	// LastUse is when a request for the unit was last reported as waiting, running or arrived.
 	LastUse time.Time
 }
 
-// Table holds the reports of all nodes. It is owned by one goroutine.
+// Table holds the reports of all nodes. It is not safe for concurrent use; one goroutine owns it.
 type Table struct {
-	// Life is how long a report counts unless renewed.
+	// Life is how long a report is valid.
 	Life  time.Duration
 	units map[string]*unit
 }
 
 type unit struct {
-	reports map[string]dated
+	reports map[string]receivedReport
 	since   time.Time
 	lastUse time.Time
 }
 
-type dated struct {
+type receivedReport struct {
 	Report
 	at time.Time
 }
 
-// NewTable returns an empty table.
+// NewTable returns an empty table with the default Life.
 func NewTable() *Table { return &Table{Life: Life, units: make(map[string]*unit)} }
 
-// Put takes a node's report in.
+// Put records a node's report. A report without waiting and running requests removes the node's entry.
 func (t *Table) Put(node string, r Report, now time.Time) {
 	u := t.units[r.Unit]
 	if u == nil {
-		u = &unit{reports: make(map[string]dated)}
+		u = &unit{reports: make(map[string]receivedReport)}
 		t.units[r.Unit] = u
 	}
 	if r.Waiting == 0 && r.Running == 0 {
@@ -68,7 +67,7 @@
 		}
 		delete(u.reports, node)
 	} else {
-		u.reports[node] = dated{Report: r, at: now}
+		u.reports[node] = receivedReport{Report: r, at: now}
 		u.lastUse = now
 	}
 	if r.Waiting > 0 && u.since.IsZero() {
@@ -76,7 +75,7 @@
 	}
 }
 
-// Get returns the merged demand of a unit.
+// Get returns the merged demand for a unit, and removes its expired reports.
 func (t *Table) Get(name string, now time.Time) Demand {
 	u := t.units[name]
 	if u == nil {
@@ -101,7 +100,7 @@
 	return d
 }
 
-// Units returns the names with a report or a use on record.
+// Units returns the names of the units that have reports or a recorded use, in no particular order.
 func (t *Table) Units() []string {
 	out := make([]string, 0, len(t.units))
 	for name := range t.units {
@@ -110,7 +109,7 @@
 	return out
 }
 
-// Forget drops units that were last used before a time and have no report.
+// Forget removes units without reports whose last use was before a time.
 func (t *Table) Forget(before time.Time) {
 	for name, u := range t.units {
 		if len(u.reports) == 0 && u.lastUse.Before(before) {
@@ -119,12 +118,11 @@
 	}
 }
 
-// Used notes a use of a unit that no report tells of: that of a base model
-// through its adapter.
+// Used records a use of a unit that no report states: a base model is used through its adapters.
 func (t *Table) Used(name string, at time.Time) {
 	u := t.units[name]
 	if u == nil {
-		u = &unit{reports: make(map[string]dated)}
+		u = &unit{reports: make(map[string]receivedReport)}
 		t.units[name] = u
 	}
 	if at.After(u.lastUse) {
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -1,15 +1,14 @@
-// Package queue holds the requests that wait for an endpoint.
+// Package queue implements the queue of requests that wait for an endpoint: fair between callers, by deadline
+// within a caller, and bounded in items and memory.
 //
-// The problem: a museum's night batch must not starve a clerk at the counter,
-// the most urgent request of a caller goes first, and memory stays bounded
-// while thousands wait. The model: start-time fair queueing between callers,
-// earliest deadline first within a caller. Each caller has a virtual time that
-// grows by the cost of what it was given; the caller that was given least goes
-// next, and among equals the one with the most urgent request. A caller that
-// comes back after a pause starts at the time of those waiting, so that it
-// neither owes for old work nor saves up credit.
+// A large batch of one caller must not starve a single interactive request of another one. Between callers the
+// queue uses start-time fair queueing. Each caller has a virtual time that grows by the cost of the items that
+// were served to it. The caller with the least virtual time goes next, and among equals the one with the
+// earliest deadline. Within a caller the earliest deadline goes first. A caller that comes back after a pause
+// starts at the current virtual time of the queue, so that it neither pays for its earlier work nor saves up
+// credit.
 //
-// A queue is not safe for concurrent use; its owner locks.
+// A [Queue] is not safe for concurrent use; its owner holds a lock.
 package queue
 
 import (
@@ -19,15 +18,15 @@
 
 // Item is one waiting request.
 type Item struct {
-	// Caller is whom the item is accounted to.
+	// Caller identifies the flow to which the item's cost is charged.
 	Caller string
-	// Deadline is when the item must have left.
+	// Deadline is the time by which the item must have left the queue.
 	Deadline time.Time
-	// Cost is what serving the item takes, in any unit that all items share; at least 1.
+	// Cost is the cost of serving the item, in a unit that all items share. Values below 1 count as 1.
 	Cost float64
-	// Bytes is the memory the item holds while it waits.
+	// Bytes is the memory that the item uses while it waits.
 	Bytes int64
-	// Value is the owner's own.
+	// Value is for the owner of the queue, which does not read it.
 	Value any
 
 	index int
@@ -35,20 +34,20 @@
 	order uint64
 }
 
-// Limits bounds a queue.
+// Limits bounds the size of a queue.
 type Limits struct {
-	// Items bounds how many wait.
+	// Items is the maximum number of waiting items.
 	Items int
-	// Bytes bounds the memory of those waiting.
+	// Bytes is the maximum memory of all waiting items.
 	Bytes int64
 }
 
-// Queue is a fair queue with deadlines.
+// Queue is a fair queue of items with deadlines.
 type Queue struct {
 	limits Limits
 	flows  map[string]*flow
 	active flowHeap
-	// now is the virtual time: the start tag of the caller served last.
+	// now is the current virtual time: the start tag of the item served last.
 	now   float64
 	items int
 	bytes int64
@@ -60,13 +59,13 @@
 	return &Queue{limits: limits, flows: make(map[string]*flow)}
 }
 
-// Len returns how many items wait.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return q.items }
 
-// Bytes returns the memory of the waiting items.
+// Bytes returns the memory of the waiting items, in bytes.
 func (q *Queue) Bytes() int64 { return q.bytes }
 
-// Push adds an item, or reports false when the queue is full.
+// Push adds an item. It reports false if that would exceed the limits.
 func (q *Queue) Push(it *Item) bool {
 	if q.items+1 > q.limits.Items || q.bytes+it.Bytes > q.limits.Bytes {
 		return false
@@ -91,7 +90,7 @@
 	return true
 }
 
-// Pop takes the item that goes next, or nil.
+// Pop removes and returns the next item, or nil if none waits.
 func (q *Queue) Pop() *Item {
 	if len(q.active) == 0 {
 		return nil
@@ -100,11 +99,11 @@
 	it := f.items[0]
 	q.now = f.tag
 	f.tag += max(1, it.Cost)
-	q.take(it)
+	q.remove(it)
 	return it
 }
 
-// Peek returns the item that goes next without taking it, or nil.
+// Peek returns the next item without removing it, or nil if none waits.
 func (q *Queue) Peek() *Item {
 	if len(q.active) == 0 {
 		return nil
@@ -112,17 +111,16 @@
 	return q.active[0].items[0]
 }
 
-// Remove takes an item out wherever it stands; it reports false when the item
-// has left already.
+// Remove removes an item from any position. It reports false if the item is no longer in the queue.
 func (q *Queue) Remove(it *Item) bool {
 	if it.flow == nil {
 		return false
 	}
-	q.take(it)
+	q.remove(it)
 	return true
 }
 
-// Items returns the waiting items in no order.
+// Items returns the waiting items in no particular order.
 func (q *Queue) Items() []*Item {
 	out := make([]*Item, 0, q.items)
 	for _, f := range q.active {
@@ -131,7 +129,7 @@
 	return out
 }
 
-// Earliest returns the most urgent deadline; ok is false when none waits.
+// Earliest returns the earliest deadline; ok is false if no item waits.
 func (q *Queue) Earliest() (deadline time.Time, ok bool) {
 	for _, f := range q.active {
 		if d := f.items[0].Deadline; !ok || d.Before(deadline) {
@@ -141,8 +139,8 @@
 	return deadline, ok
 }
 
-// Due returns the first deadline after now, or the earliest one if all are past, and
-// the last deadline; ok is false when none waits.
+// Due returns the earliest deadline after now, or the earliest of all if none is after now, and the latest
+// deadline of all; ok is false if no item waits.
 func (q *Queue) Due(now time.Time) (next, last time.Time, ok bool) {
 	for _, f := range q.active {
 		for _, it := range f.items {
@@ -159,7 +157,7 @@
 	return next, last, ok
 }
 
-// Sooner reports whether deadline a goes before b: those that are not past go first.
+// Sooner reports whether deadline a goes before deadline b. Deadlines after now go before those that have passed.
 func Sooner(a, b, now time.Time) bool {
 	if past := !a.After(now); past != !b.After(now) {
 		return !past
@@ -167,8 +165,8 @@
 	return a.Before(b)
 }
 
-// take removes the item from its flow and the flow from the queue if idle.
-func (q *Queue) take(it *Item) {
+// remove removes an item from its flow, and the flow from the active flows if it has no more items.
+func (q *Queue) remove(it *Item) {
 	f := it.flow
 	heap.Remove(&f.items, it.index)
 	it.flow = nil
@@ -181,21 +179,21 @@
 	heap.Remove(&q.active, f.index)
 	f.index = -1
 	if f.tag <= q.now || q.items == 0 {
-		// A flow that is not ahead of the others has nothing to remember.
+		// A flow that is not ahead of the virtual time has no state worth keeping.
 		delete(q.flows, f.caller)
 	}
 	if q.items == 0 {
-		// Nobody waits: all start anew.
+		// The queue is empty: every caller starts from zero again.
 		clear(q.flows)
 		q.now = 0
 	}
 }
 
-// flow is the waiting work of one caller.
+// flow holds the waiting items of one caller.
 type flow struct {
 	caller string
 	items  itemHeap
-	// tag is the virtual start time of the caller's next item.
+	// tag is the start tag of the caller's next item, in virtual time.
 	tag   float64
 	index int
 }
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -15,7 +15,7 @@
 	return &Item{Caller: caller, Deadline: zero.Add(time.Duration(deadline) * time.Second), Cost: 1, Bytes: 1, Value: fmt.Sprint(caller, deadline)}
 }
 
-// TestOrder pushes items and expects the order in which they leave.
+// TestOrder checks the order in which pushed items leave the queue.
 func TestOrder(t *testing.T) {
 	tests := []struct {
 		name string
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestBatchDoesNotStarveClerk lets a clerk arrive behind a museum's thousand.
+// TestBatchDoesNotStarveClerk guards against a caller that waits behind another caller's batch of 1000 items.
 func TestBatchDoesNotStarveClerk(t *testing.T) {
 	q := New(Limits{Items: 2000, Bytes: 2000})
 	for i := range 1000 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestQueueProperties drives random pushes, pops and removals.
+// TestQueueProperties checks the contents, size and limits of the queue after random pushes, pops and removals.
 func TestQueueProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := New(Limits{Items: 20, Bytes: 30})
--- a/core/retry/allowance.go
+++ b/core/retry/allowance.go
@@ -3,76 +3,72 @@
 import "time"
 
 const (
-	// usedShare is the part of the bound on all nodes that they use together. The rest is
-	// left for retries that arrive later than they were admitted, and for nodes that have not
-	// heard of all others yet.
-	usedShare = 0.7
-	// partLife is how long a node keeps its part of the reserve while no holder tells it
-	// anything.
-	partLife = 30 * time.Second
-	// leastNodes is the least count that divides the reserve: the part of a holder that is cut
-	// off from all others, and counts only itself, fits beside the parts of the others.
-	leastNodes = 3
-	// countLife is how long a count bounds the parts after it was last told. A holder that is
-	// cut off from all others counts only itself: it must not take the whole before the others
-	// have given their parts up, what they spent has left the window, and another holder that
-	// is cut off, too, has had the time to come and go.
-	countLife = 5 * time.Minute
+	// usedFraction is the fraction of the common bound that the nodes use. The rest covers retries that arrive
+	// later than they were admitted, and nodes that have not received reports of all others yet.
+	usedFraction = 0.7
+	// shareTTL is how long a node keeps its share of the reserve after the lease holder last sent a count.
+	shareTTL = 30 * time.Second
+	// minNodes is the minimum divisor of the reserve. A holder that is partitioned from all other nodes
+	// counts only itself; with this divisor its share fits beside the shares that the others still use.
+	minNodes = 3
+	// countTTL is how long a count bounds the shares after it was last received. A holder that is partitioned
+	// from all other nodes counts only itself. It must not use the whole reserve before the others have
+	// given up their shares and their retries have left the window. The time also covers another partitioned
+	// holder that came and went in between.
+	countTTL = 5 * time.Minute
 )
 
-// Allowance is the part of one node in what all nodes together may retry. It is not safe
-// for concurrent use.
+// Allowance computes the limits of one node's retry budget, such that all nodes together keep a common
+// bound. It is not safe for concurrent use.
 //
-// The share of first attempts is each node's own. The reserve is divided equally by the
-// largest count of nodes told within countLife: a holder of the lease begins with a count of
-// one, and one that is cut off from others counts too few. A node that is not told any more
-// gives its part up before the others forget it. A node that has just begun, or hears of a
-// holder again after that, has no part for one window: what its process before spent is
-// unknown, and the first count may be too low.
+// The share of first attempts applies to each node by itself. The reserve is divided equally by the largest
+// node count received within countTTL, because the counts can be too low: a new lease holder begins with a
+// count of one, and a partitioned one misses nodes. A node that receives no counts gives up its share before
+// the others forget it. A node that has just started, or receives a count again after that, has no share for
+// one window, since the retries of its previous process are unknown and the first count may be too low.
 type Allowance struct {
 	all Limits
-	// since is when the node began to be told counts, and toldAt when it last was.
-	since, toldAt time.Time
-	// ready is set once it was told one a window after it began.
+	// since is when the node began to receive counts; receivedAt is when it received the latest one.
+	since, receivedAt time.Time
+	// ready is true once a count was received at least one window after since.
 	ready bool
-	// counts are those told that no later one exceeds, the oldest and largest first.
-	counts []toldCount
+	// counts holds the received counts that no later one equals or exceeds, oldest and largest first.
+	counts []nodeCount
 }
 
-// toldCount is a count of nodes, and when it was last told.
-type toldCount struct {
+// nodeCount is a node count and when it was last received.
+type nodeCount struct {
 	nodes int
 	at    time.Time
 }
 
-// NewAllowance returns the allowance of a node that begins, where the limits hold for all
-// nodes together.
+// NewAllowance returns the allowance of a node that has just started. The limits apply to all nodes together.
 func NewAllowance(all Limits) *Allowance { return &Allowance{all: all} }
 
-// Heard notes how many nodes share the limits, by the holder of the lease.
+// Heard records the number of nodes that share the limits, as counted by the lease holder.
 func (a *Allowance) Heard(nodes int, now time.Time) {
-	if a.Nodes(now) == 0 || !a.told(now) {
+	if a.Nodes(now) == 0 || !a.receiving(now) {
 		a.since, a.ready = now, false
 	}
 	a.ready = a.ready || now.Sub(a.since) >= a.all.Window
 	for len(a.counts) > 0 && a.counts[len(a.counts)-1].nodes <= nodes {
 		a.counts = a.counts[:len(a.counts)-1]
 	}
-	a.counts = append(a.counts, toldCount{nodes: max(leastNodes, nodes), at: now})
-	a.toldAt = now
+	a.counts = append(a.counts, nodeCount{nodes: max(minNodes, nodes), at: now})
+	a.receivedAt = now
 }
 
-// told reports whether a holder has told a count lately enough for the node to have a part.
-func (a *Allowance) told(now time.Time) bool { return now.Sub(a.toldAt) <= partLife }
+// receiving reports whether a count was received within shareTTL, so that the node keeps its share.
+func (a *Allowance) receiving(now time.Time) bool { return now.Sub(a.receivedAt) <= shareTTL }
 
-// forget drops the counts that no longer bound the parts.
+// forget removes the counts that are older than countTTL.
 func (a *Allowance) forget(now time.Time) {
-	for len(a.counts) > 0 && now.Sub(a.counts[0].at) > countLife {
+	for len(a.counts) > 0 && now.Sub(a.counts[0].at) > countTTL {
 		a.counts = a.counts[1:]
 	}
 }
 
-// Nodes returns by how many nodes the reserve is divided; 0 where none is known.
+// Nodes returns the number of nodes by which the reserve is divided; 0 if none is known.
 func (a *Allowance) Nodes(now time.Time) int {
 	a.forget(now)
 	if len(a.counts) == 0 {
@@ -81,13 +77,13 @@
 	return a.counts[0].nodes
 }
 
-// Limits returns what this node may retry.
+// Limits returns the limits of this node's budget.
 func (a *Allowance) Limits(now time.Time) Limits {
 	l := a.all
-	l.Share *= usedShare
+	l.Share *= usedFraction
 	l.Reserve = 0
-	if n := a.Nodes(now); n > 0 && a.ready && a.told(now) {
-		l.Reserve = a.all.Reserve * usedShare / float64(n)
+	if n := a.Nodes(now); n > 0 && a.ready && a.receiving(now) {
+		l.Reserve = a.all.Reserve * usedFraction / float64(n)
 	}
 	return l
 }
--- a/core/retry/allowance_test.go
+++ b/core/retry/allowance_test.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	// simStep is the time between two looks at the nodes, and heardLife how long a holder
-	// counts a node that it heard.
+	// simStep is the interval of the simulation. reportTTL is how long the holder counts a node after its
+	// latest report.
 	simStep   = 100 * time.Millisecond
-	heardLife = 1500 * time.Millisecond
-	// reportEvery is the longest time between two reports of a node.
+	reportTTL = 1500 * time.Millisecond
+	// reportEvery is the longest interval between two reports of a node.
 	reportEvery = time.Second
 )
 
-// simNode is one node of a simulated deployment, which retries whatever it may.
+// simNode is a node of a simulated deployment that makes all the retries that its budget allows.
 type simNode struct {
 	allowance *Allowance
 	budget    *Budget
-	// heard is when each node last reported to this one, as the holder.
-	heard    map[int]time.Time
-	reportAt time.Time
+	// reportedAt holds when each node last reported to this one while it was the holder.
+	reportedAt map[int]time.Time
+	reportAt   time.Time
 }
 
-// sim is a deployment in virtual time. One node holds the lease and tells the others how many
-// it hears of.
+// sim is a deployment in virtual time. One node holds the lease and sends the others the number of nodes
+// that reported to it.
 type sim struct {
 	all    Limits
 	r      *rand.Rand
 	now    time.Time
 	nodes  []*simNode
 	holder int
-	// cut is true for nodes that hear nothing of the holder, nor it of them.
-	cut []bool
-	// sent are the moments of the latest retries, at most one window old.
-	sent  []time.Time
-	worst int
-	// plant spoils the nodes before each step; nil for nothing.
-	plant func(s *sim)
+	// partitioned is true for nodes that are partitioned from the holder.
+	partitioned []bool
+	// sent holds the times of the retries of the latest window; maxInWindow is the largest number of them so far.
+	sent        []time.Time
+	maxInWindow int
+	// injectFault injects a fault into the nodes in each step; nil for none.
+	injectFault func(s *sim)
 }
 
 func newSim(nodes int, all Limits, seed uint64) *sim {
-	s := &sim{all: all, r: rand.New(rand.NewPCG(seed, 1)), now: start, cut: make([]bool, nodes)}
+	s := &sim{all: all, r: rand.New(rand.NewPCG(seed, 1)), now: start, partitioned: make([]bool, nodes)}
 	for range nodes {
 		s.nodes = append(s.nodes, nil)
 	}
@@ -56,26 +56,26 @@
 	return s
 }
 
-// restart starts the process of a node anew.
+// restart replaces the process of a node.
 func (s *sim) restart(i int) {
-	s.nodes[i] = &simNode{allowance: NewAllowance(s.all), budget: NewBudget(Limits{}), heard: make(map[int]time.Time), reportAt: s.now.Add(s.soon())}
+	s.nodes[i] = &simNode{allowance: NewAllowance(s.all), budget: NewBudget(Limits{}), reportedAt: make(map[int]time.Time), reportAt: s.now.Add(s.randomDelay())}
 }
 
-// hold makes a node the holder, which has heard of nobody.
-func (s *sim) hold(i int) {
+// setHolder makes a node the lease holder. It has received no reports yet.
+func (s *sim) setHolder(i int) {
 	s.holder = i
-	s.nodes[i].heard = make(map[int]time.Time)
+	s.nodes[i].reportedAt = make(map[int]time.Time)
 }
 
-func (s *sim) soon() time.Duration { return time.Duration(s.r.Int64N(int64(reportEvery))) }
+func (s *sim) randomDelay() time.Duration { return time.Duration(s.r.Int64N(int64(reportEvery))) }
 
-// run lets time pass.
+// run advances the simulation by d.
 func (s *sim) run(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simStep) {
 		s.report()
-		s.tell()
-		if s.plant != nil {
-			s.plant(s)
+		s.sendCount()
+		if s.injectFault != nil {
+			s.injectFault(s)
 		}
 		s.retry()
 	}
@@ -84,31 +84,31 @@
 func (s *sim) report() {
 	h := s.nodes[s.holder]
 	for i, n := range s.nodes {
-		if i == s.holder || s.cut[i] || s.cut[s.holder] || s.now.Before(n.reportAt) {
+		if i == s.holder || s.partitioned[i] || s.partitioned[s.holder] || s.now.Before(n.reportAt) {
 			continue
 		}
-		h.heard[i] = s.now
-		n.reportAt = s.now.Add(s.soon())
+		h.reportedAt[i] = s.now
+		n.reportAt = s.now.Add(s.randomDelay())
 	}
 }
 
-func (s *sim) tell() {
+func (s *sim) sendCount() {
 	h, count := s.nodes[s.holder], 1
-	for _, at := range h.heard {
-		if s.now.Sub(at) <= heardLife {
+	for _, at := range h.reportedAt {
+		if s.now.Sub(at) <= reportTTL {
 			count++
 		}
 	}
 	h.allowance.Heard(count, s.now)
 	told := h.allowance.Nodes(s.now)
 	for i, n := range s.nodes {
-		if i != s.holder && !s.cut[i] && !s.cut[s.holder] {
+		if i != s.holder && !s.partitioned[i] && !s.partitioned[s.holder] {
 			n.allowance.Heard(told, s.now)
 		}
 	}
 }
 
-// retry has each node make all the retries that it may, and counts those of a window.
+// retry makes each node send all the retries that it may, and counts those within a window.
 func (s *sim) retry() {
 	for _, n := range s.nodes {
 		n.budget.Limit(n.allowance.Limits(s.now))
@@ -119,28 +119,28 @@
 	for len(s.sent) > 0 && s.now.Sub(s.sent[0]) >= s.all.Window {
 		s.sent = s.sent[1:]
 	}
-	s.worst = max(s.worst, len(s.sent))
+	s.maxInWindow = max(s.maxInWindow, len(s.sent))
 }
 
-// playDrawn has the holder change and nodes start again, be cut off and reached again, in series.
-func playDrawn(s *sim) {
+// runRandom runs a random series of changes of the holder, restarts, partitions and their ends.
+func runRandom(s *sim) {
 	for range 60 {
 		switch i := s.r.IntN(len(s.nodes)); s.r.IntN(4) {
 		case 0:
-			s.hold(i)
+			s.setHolder(i)
 		case 1:
 			s.restart(i)
 		case 2:
-			s.cut[i] = true
+			s.partitioned[i] = true
 		case 3:
-			clear(s.cut)
+			clear(s.partitioned)
 		}
 		s.run(time.Duration(s.r.Int64N(int64(3 * time.Second))))
 	}
 }
 
-// TestReserveOfAllNodes checks that nodes which retry all they may keep the bound on all nodes
-// together, while the holder of the lease changes, nodes are cut off, start again and join.
+// TestReserveOfAllNodes guards against nodes that together retry more than the common bound while the lease
+// holder changes and nodes are partitioned, restart and join. Each node makes all the retries that it may.
 func TestReserveOfAllNodes(t *testing.T) {
 	loads := []struct {
 		name string
@@ -150,18 +150,18 @@
 		{"the holder changes", func(s *sim) {
 			s.run(15 * time.Second)
 			for i := range 4 {
-				s.hold(1 + i)
+				s.setHolder(1 + i)
 				s.run(2 * time.Second)
 			}
 		}},
 		{"a new holder hears half of the nodes", func(s *sim) {
 			s.run(15 * time.Second)
-			for i := range s.cut {
-				s.cut[i] = i%2 == 0
+			for i := range s.partitioned {
+				s.partitioned[i] = i%2 == 0
 			}
-			s.hold(1)
-			s.run(partLife + countLife + 30*time.Second)
-			clear(s.cut)
+			s.setHolder(1)
+			s.run(shareTTL + countTTL + 30*time.Second)
+			clear(s.partitioned)
 			s.run(5 * time.Second)
 		}},
 		{"one starts again and again", func(s *sim) {
@@ -176,7 +176,7 @@
 				for i := range s.nodes {
 					s.restart(i)
 				}
-				s.hold(2)
+				s.setHolder(2)
 				s.run(3 * time.Second)
 			}
 			s.run(15 * time.Second)
@@ -187,20 +187,20 @@
 				for i := 0; i < len(s.nodes); i += 3 {
 					s.restart(i)
 				}
-				s.hold(3 * k)
+				s.setHolder(3 * k)
 				s.run(2500 * time.Millisecond)
 			}
 		}},
 		{"cut off from the start until there is a new holder", func(s *sim) {
-			for i := range s.cut {
-				s.cut[i] = i > 0
+			for i := range s.partitioned {
+				s.partitioned[i] = i > 0
 			}
 			s.run(15 * time.Second)
-			clear(s.cut)
-			s.hold(1)
+			clear(s.partitioned)
+			s.setHolder(1)
 			s.run(15 * time.Second)
 		}},
-		{"drawn", playDrawn},
+		{"drawn", runRandom},
 	}
 	for _, nodes := range []int{9, 71, 300} {
 		for _, load := range loads {
@@ -208,8 +208,8 @@
 				for seed := range uint64(3) {
 					s := newSim(nodes, Limits{Reserve: 180, Window: 10 * time.Second}, seed)
 					load.play(s)
-					if s.worst > 180 {
-						t.Errorf("seed %d: %d retries in a window, 180 allowed", seed, s.worst)
+					if s.maxInWindow > 180 {
+						t.Errorf("seed %d: %d retries in a window, 180 allowed", seed, s.maxInWindow)
 					}
 				}
 			})
@@ -217,11 +217,11 @@
 	}
 }
 
-// TestReserveFaultsFound checks that the drawn load finds nodes that divide the reserve wrongly.
+// TestReserveFaultsFound checks that the random series reveals each of three faults in dividing the reserve.
 func TestReserveFaultsFound(t *testing.T) {
 	faults := []struct {
-		name  string
-		plant func(s *sim)
+		name        string
+		injectFault func(s *sim)
 	}{
 		{"a count counts alone, not the largest told lately", func(s *sim) {
 			for _, n := range s.nodes {
@@ -237,8 +237,8 @@
 		}},
 		{"a node that is not told keeps its part", func(s *sim) {
 			for i, n := range s.nodes {
-				if s.cut[i] {
-					n.allowance.counts, n.allowance.toldAt, n.allowance.ready = []toldCount{{1, s.now}}, s.now, true
+				if s.partitioned[i] {
+					n.allowance.counts, n.allowance.receivedAt, n.allowance.ready = []nodeCount{{1, s.now}}, s.now, true
 				}
 			}
 		}},
@@ -247,9 +247,9 @@
 		t.Run(f.name, func(t *testing.T) {
 			for seed := range uint64(20) {
 				s := newSim(9, Limits{Reserve: 180, Window: 10 * time.Second}, seed)
-				s.plant = f.plant
-				playDrawn(s)
-				if s.worst > 180 {
+				s.injectFault = f.injectFault
+				runRandom(s)
+				if s.maxInWindow > 180 {
 					return
 				}
 			}
@@ -258,13 +258,13 @@
 	}
 }
 
-// TestAllowance checks a node's part of a reserve of 90 by what it was told.
+// TestAllowance checks a node's share of a reserve of 90 after a series of received counts.
 func TestAllowance(t *testing.T) {
 	type told struct {
 		nodes int
 		at    time.Duration
 	}
-	// Told by one holder without a pause.
+	// Received from one holder without a gap.
 	steady := []told{{9, 0}, {9, 10 * time.Second}, {9, 35 * time.Second}}
 	tests := []struct {
 		name string
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -2,48 +2,47 @@
 
 import "time"
 
-// Limits bound retries within any span of time of a length.
+// Limits bounds the retries within any time span of the length Window.
 type Limits struct {
-	// Share is how many retries are allowed for each first attempt of the span, and
-	// Reserve how many beyond.
+	// Share is the number of retries allowed for each first attempt within the window. Reserve is the
+	// number allowed in addition.
 	Share, Reserve float64
 	Window         time.Duration
 }
 
-// DefaultLimits allow one retry for ten requests, and ten beyond, in ten seconds.
+// DefaultLimits allows one retry per ten first attempts, plus ten, within ten seconds.
 var DefaultLimits = Limits{Share: 0.1, Reserve: 10, Window: 10 * time.Second}
 
-// Budget bounds retries. What it allows follows from the attempts of the last
-// moments themselves, so that retries that come together may use what the whole span
-// allows. It is not safe for concurrent use.
+// Budget bounds retries by the first attempts of a sliding window. It does not refill at a rate, so that a
+// burst of retries may use what the whole window allows. It is not safe for concurrent use.
 type Budget struct {
 	limits Limits
-	// firsts are the first attempts, spent the retries that were sent.
-	firsts, spent counts
-	// held counts the retries that wait for a place.
-	held int
+	// firsts counts the first attempts, spent the retries that were sent.
+	firsts, spent windowCounter
+	// reserved is the number of retries that are reserved and not sent yet.
+	reserved int
 }
 
-// spendable is the least that pays for one retry; it leaves room for the error
-// of adding tenths.
-const spendable = 1 - 1e-9
+// minBudget is the least budget that pays for one retry. It is slightly less than 1 to allow for rounding
+// errors of multiples of Share, such as tenths.
+const minBudget = 1 - 1e-9
 
-// NewBudget returns a budget with nothing spent.
+// NewBudget returns a budget without first attempts or retries.
 func NewBudget(l Limits) *Budget { return &Budget{limits: l} }
 
-// Limit changes what the budget allows.
+// Limit replaces the limits of the budget.
 func (b *Budget) Limit(l Limits) { b.limits = l }
 
-// Earn notes a first attempt.
+// Earn records a first attempt.
 func (b *Budget) Earn(now time.Time) { b.firsts.add(now, b.limits.Window) }
 
-// Left returns how many retries may be made now.
+// Left returns the number of retries that may be made now; it may be fractional or negative.
 func (b *Budget) Left(now time.Time) float64 {
 	earned := b.limits.Share * float64(b.firsts.sum(now, b.limits.Window))
-	return earned + b.limits.Reserve - float64(b.spent.sum(now, b.limits.Window)+b.held)
+	return earned + b.limits.Reserve - float64(b.spent.sum(now, b.limits.Window)+b.reserved)
 }
 
-// Spend takes one retry that is sent at once, or reports false when the budget is used up.
+// Spend takes one retry that is sent now. It reports false if the budget is exhausted.
 func (b *Budget) Spend(now time.Time) bool {
 	if !b.Hold(now) {
 		return false
@@ -52,40 +51,40 @@
 	return true
 }
 
-// Hold takes one retry that is not sent yet, or reports false when the budget is used up. Sent
-// or Drop must follow.
+// Hold reserves one retry that is sent later. It reports false if the budget is exhausted. A call of
+// Sent or Drop must follow if it returns true.
 func (b *Budget) Hold(now time.Time) bool {
-	if b.Left(now) < spendable {
+	if b.Left(now) < minBudget {
 		return false
 	}
-	b.held++
+	b.reserved++
 	return true
 }
 
-// Sent notes that a retry held is sent: it counts to the window from now on.
+// Sent records that a reserved retry is sent: it counts in the window from now on.
 func (b *Budget) Sent(now time.Time) {
-	b.held--
+	b.reserved--
 	b.spent.add(now, b.limits.Window)
 }
 
-// Drop gives a retry held back that was not sent.
-func (b *Budget) Drop() { b.held-- }
+// Drop returns a reserved retry that was not sent to the budget.
+func (b *Budget) Drop() { b.reserved-- }
 
-// countSpans is into how many spans the window of a count is divided: what is counted
-// leaves it one span at a time.
+// countSpans is the number of spans into which the window of a counter is divided. Events leave the window
+// one span at a time.
 const countSpans = 20
 
-// counts counts events within a sliding window.
-type counts struct {
+// windowCounter is a sliding-window counter of events.
+type windowCounter struct {
 	spans [countSpans + 1]int
-	// last is the number of the newest span since the beginning of time.
+	// last is the number of the newest span, counted from the Unix epoch.
 	last int64
 }
 
-// advance drops what has left the window and returns the place of the present span.
-func (c *counts) advance(now time.Time, window time.Duration) *int {
+// advance clears the spans that have left the window and returns the counter of the current span.
+func (c *windowCounter) advance(now time.Time, window time.Duration) *int {
 	span := now.UnixNano() / max(1, int64(window)/countSpans)
-	// A step of the clock backwards counts in the newest span.
+	// If the clock was set back, events count in the newest span.
 	for n := min(span-c.last, int64(len(c.spans))); n > 0; n-- {
 		c.spans[(span-n+1)%int64(len(c.spans))] = 0
 	}
@@ -93,10 +92,10 @@
 	return &c.spans[c.last%int64(len(c.spans))]
 }
 
-func (c *counts) add(now time.Time, window time.Duration) { *c.advance(now, window)++ }
+func (c *windowCounter) add(now time.Time, window time.Duration) { *c.advance(now, window)++ }
 
-// sum returns the events of the window and of the span that is leaving it.
-func (c *counts) sum(now time.Time, window time.Duration) int {
+// sum returns the number of events in the window and in the span that is partly outside of it.
+func (c *windowCounter) sum(now time.Time, window time.Duration) int {
 	c.advance(now, window)
 	n := 0
 	for _, k := range c.spans {
--- a/core/retry/budget_test.go
+++ b/core/retry/budget_test.go
@@ -9,13 +9,13 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestBudget checks what is left after attempts and retries at some moments.
+// TestBudget checks the remaining budget at several times after first attempts and retries.
 func TestBudget(t *testing.T) {
 	limits := Limits{Share: 0.1, Reserve: 2, Window: 10 * time.Second}
 	tests := []struct {
 		name          string
 		firsts, spent int
-		// after is how much later the budget is asked.
+		// after is the time between the attempts and the check.
 		after time.Duration
 		want  float64
 	}{
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestBudgetHolds checks that in no window more retries are made than the first
-// attempts of that window, or of the one before it, and the reserve allow.
+// TestBudgetHolds checks that no window contains more retries than the limits allow for the first attempts of
+// that window and the one before it.
 func TestBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Share: 0.2, Reserve: 3, Window: time.Second}
--- a/core/retry/next.go
+++ b/core/retry/next.go
@@ -1,43 +1,43 @@
 package retry
 
-// Attempt is what is known when an attempt gave no whole answer.
+// Attempt is the state of a request after an attempt that gave no complete answer.
 type Attempt struct {
 	Outcome Outcome
-	// OnceOnly requests may not run twice.
+	// OnceOnly is true if the request must not run twice.
 	OnceOnly bool
-	// Ran counts the attempts that may have run, this one included, and Attempts bounds them.
+	// Ran is the number of attempts that may have run, including this one. Attempts is its limit.
 	Ran, Attempts int
-	// Late is true once the deadline has passed, Left once the caller has gone.
+	// Late is true if the deadline has passed. Left is true if the caller has disconnected.
 	Late, Left bool
-	// Held is true where the request is kept from engines by now.
+	// Held is true if the request must not be sent to engines any more.
 	Held bool
 }
 
-// Step is what follows an attempt.
+// Step is what the caller of Next does with the request.
 type Step uint8
 
-// The steps.
+// Steps.
 const (
-	// Repeat: another attempt, if the budget pays for it where the last one may have run.
+	// Repeat means another attempt. If the last one may have run, the retry budget must allow it.
 	Repeat Step = iota
-	// TimedOut: the time is up, and the request may have run.
+	// TimedOut means that the deadline has passed and that the request may have run.
 	TimedOut
-	// NotBegun: no attempt has begun.
+	// NotBegun means that no attempt has run.
 	NotBegun
-	// Withheld: no attempt has begun, and none will: the request is kept from engines.
+	// Withheld means that no attempt has run, and that none will, because the request must not be sent to engines.
 	Withheld
-	// Unknown: a request that may run once may have run.
+	// Unknown means that a once-only request may have run.
 	Unknown
-	// Failed: the request may have run, and will not be sent again.
+	// Failed means that the request may have run and that it is not sent again.
 	Failed
 )
 
 var stepNames = [...]string{"repeat", "timedOut", "notBegun", "withheld", "unknown", "failed"}
 
-// String returns the step's name.
+// String returns the name of the step.
 func (s Step) String() string { return stepNames[s] }
 
-// Next decides what follows an attempt that gave no whole answer.
+// Next returns the step that follows an attempt without a complete answer.
 func Next(a Attempt) Step {
 	switch {
 	case a.Late && a.Outcome != NotSent:
--- a/core/retry/next_test.go
+++ b/core/retry/next_test.go
@@ -6,14 +6,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestNext walks through every combination of what is known after an attempt.
+// TestNext checks every combination of the fields of Attempt against a list of rules.
 func TestNext(t *testing.T) {
 	type rule struct {
 		name  string
 		holds func(a Attempt) bool
 		want  Step
 	}
-	// The first rule that holds says what is to follow.
+	// The first rule that holds gives the expected step.
 	rules := []rule{
 		{"late after something was sent", func(a Attempt) bool { return a.Late && a.Outcome != NotSent }, TimedOut},
 		{"late, nothing sent ever", func(a Attempt) bool { return a.Late && a.Ran == 0 && !a.Held }, NotBegun},
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,28 +1,30 @@
-// Package retry decides what may follow a dispatch that did not end well.
+// Package retry decides whether a request may be sent again after an attempt without a complete answer, and
+// bounds the retries of all nodes.
 //
-// The problem: a request that may not be repeated runs at most once, a refusal
-// that says "not run" is true, and retries must not multiply an overload. The
-// model: every dispatch ends in an [Outcome] that says what is known, and
-// retries of whatever kind draw on a [Budget] that grows with the work done.
+// A request that must not be repeated runs at most once, a refusal that states "not run" is always true, and
+// retries must not multiply an overload. Every attempt therefore ends with an [Outcome] that states what is
+// known about it, and [Next] derives the next step from it. Retries of every kind are charged to a [Budget],
+// whose size follows the number of first attempts. An [Allowance] computes the limits of one node's budget
+// such that all nodes together stay within a common bound.
 package retry
 
-// Outcome says what is known about a dispatch that gave no whole answer.
+// Outcome states what is known about an attempt that gave no complete answer.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes.
 const (
-	// NotSent: nothing of the request reached the endpoint, or the endpoint
-	// said that it did not begin. Only this may be reported as "not run".
+	// NotSent means that nothing of the request reached the endpoint, or that the endpoint stated that
+	// it did not begin. Only this outcome may be reported as "not run".
 	NotSent Outcome = iota + 1
-	// MaybeRun: something was sent and no answer says what became of it.
+	// MaybeRun means that something was sent, and that no answer states whether it ran.
 	MaybeRun
-	// Ran: the endpoint began to answer.
+	// Ran means that the endpoint began to answer.
 	Ran
 )
 
 var outcomeNames = map[Outcome]string{NotSent: "notSent", MaybeRun: "maybeRun", Ran: "ran"}
 
-// String implements fmt.Stringer.
+// String returns the name of the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // MayRepeat reports whether a request may be sent again after the outcome.
--- a/core/view/view.go
+++ b/core/view/view.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// buildServices sets the endpoints of the plain buildServices in v.
+// buildServices sets the endpoints of the plain services in v.
 func (b *Builder) buildServices(in *Input, v *View) {
 	for _, s := range in.Services {
 		cfg := in.Ledger.Catalog.Services[s.Service]
