--- a/core/evacuation/set_test.go
+++ b/core/evacuation/set_test.go
@@ -6,10 +6,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSet checks what records and whole lists in any order come to.
+// TestSet checks the set after records and complete lists in any order.
 func TestSet(t *testing.T) {
 	type step struct {
-		// halls is a whole list; nil for one record.
+		// halls is a complete list; nil if the step is one record.
 		halls []string
 		hall  string
 		on    bool
--- a/core/logstore/fault.go
+++ b/core/logstore/fault.go
@@ -2,27 +2,28 @@
 
 import "fmt"
 
-// Reason says why a record was passed over.
+// Reason states why a record was skipped.
 type Reason string
 
-// The reasons.
+// Reasons.
 const (
-	// Unreadable bytes are no record at all.
+	// Unreadable means that the bytes are not a record.
 	Unreadable Reason = "unreadable"
-	// Missing and WrongType are of a field that lacks, or holds what it never holds.
+	// Missing means that a required field is absent, WrongType that a field has a value of the wrong type.
 	Missing   Reason = "missing"
 	WrongType Reason = "wrongType"
-	// Unnamed is a value that means nothing: an unknown state, an address of nobody.
+	// Unnamed means that a value of the right type is invalid, such as an unknown state, a negative number
+	// of slots or an address at which nobody can listen.
 	Unnamed Reason = "unnamed"
 )
 
-// Fault is why a record was passed over; the others of its page hold.
+// Fault is the error of a record that was skipped. The other records of its page are valid.
 type Fault struct {
 	Reason Reason
-	// Field is the record's field at fault; "" for the whole record.
+	// Field is the name of the invalid field; empty if the whole record is invalid.
 	Field string
 	Cause error
-	// Remedy says what to do.
+	// Remedy states what the operator should do.
 	Remedy string
 }
 
--- a/core/logstore/logstore.go
+++ b/core/logstore/logstore.go
@@ -1,10 +1,8 @@
-// Package logstore names what a node reads from the platform's log store and
-// how a call to it may end.
+// Package logstore defines what a node reads from the platform's log store and how a call to the store can fail.
 //
-// The problem: a call without an answer may have been carried out, or may be
-// carried out later; a refused one certainly was not. The model: every failure
-// is an [Error] whose [Kind] says which of these holds, and a [Page] holds the
-// records of one read, in order, each with its offset.
+// A call without an answer may have taken effect, or may still do so; a refused one certainly has no effect. Every
+// failure is an [Error] whose [Kind] states which of these applies. A [Page] holds the records of one read in
+// order, each with its position. The values that records decode to are defined here too.
 package logstore
 
 import (
@@ -15,21 +13,21 @@
 	"olivetiller/core/route"
 )
 
-// Kind says how a call failed.
+// Kind states how a call failed.
 type Kind uint8
 
-// The kinds of failure.
+// Kinds of failures.
 const (
-	// Refused calls had no effect.
+	// Refused means that the call had no effect.
 	Refused Kind = iota + 1
-	// NoAnswer calls may have had an effect, or may have it later.
+	// NoAnswer means that the call may have had an effect, or may still have one.
 	NoAnswer
-	// Moved appends had no effect: the topic did not end where they said.
+	// Moved means that an append had no effect because the topic did not end at the expected position.
 	Moved
-	// Dropped reads began before the first record still kept.
+	// Dropped means that a read began before the first record that the store still keeps.
 	Dropped
-	// PutBack calls named a place of an earlier era of the store. An append may have had an
-	// effect: its record stands in the new era as one of the old.
+	// PutBack means that the call named a position of an earlier era, because the store was restored from a
+	// backup since. An append may have had an effect: its record is then in the new era, marked with the old one.
 	PutBack
 )
 
@@ -39,13 +37,13 @@
 	PutBack: "the store has come back from an older copy",
 }
 
-// Error is a call that failed.
+// Error is a failed call to the store.
 type Error struct {
 	Kind Kind
-	// End is the topic's end where the kind is Moved.
+	// End is the position of the topic's end if Kind is Moved.
 	End uint64
-	// First is the first record kept where the kind is Dropped, and the beginning of the
-	// new era where it is PutBack.
+	// First is the position of the first record kept if Kind is Dropped, and the beginning of the new era if
+	// Kind is PutBack.
 	First uint64
 	Cause error
 }
@@ -56,35 +54,34 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Record is one record with its place.
+// Record is a decoded record with its position.
 type Record[T any] struct {
-	// Offset is a position, as all places here are (package position).
+	// Offset is the record's position (see package position), like all places in this package.
 	Offset uint64
 	Value  T
 }
 
 // Page is the result of one read.
 type Page[T any] struct {
-	// Records are in the order of their offsets; records that hold nothing of
-	// interest are left out.
+	// Records are ordered by position. Records that are of no interest to a node are left out.
 	Records []Record[T]
-	// Next is the offset to read from next.
+	// Next is the position at which the next read continues.
 	Next uint64
-	// First and End bound the records that the store keeps.
+	// First is the position of the first record that the store keeps, End the position after the last one.
 	First, End uint64
-	// Damaged holds a fault for each record that could not be decoded.
+	// Damaged holds an error for each record that could not be decoded.
 	Damaged []error
 }
 
-// Config is a record of the operator's: a configuration, or the evacuation of a data hall.
+// Config is a record of the operators' topic: a configuration, or the evacuation of a data hall.
 type Config struct {
-	// Table is nil in a record of an evacuation.
+	// Table is the configuration; nil if the record is an evacuation.
 	Table *route.Table
-	// Evacuation is nil in a configuration.
+	// Evacuation is nil if the record is a configuration.
 	Evacuation *Evacuation
 }
 
-// Evacuation says whether a data hall's endpoints are to get no requests.
+// Evacuation begins or ends the evacuation of a data hall, whose endpoints get no requests while it is on.
 type Evacuation struct {
 	Hall string
 	On   bool
@@ -93,15 +90,15 @@
 // Instance is a change of the list of endpoints.
 type Instance = directory.Record
 
-// Verdict is what the store keeps of a request under which engines ended, so that a fleet
-// which starts anew knows it.
+// Verdict is the stored state of a request that is suspected of crashing engines. It is stored so that a fleet that
+// restarts completely still knows it.
 type Verdict struct {
 	Request quarantine.Fingerprint
 	// Epoch and Trials are as in quarantine.Entry.
 	Epoch  uint32
 	Trials int
-	// Age is how long ago the verdict was given, or the latest trial began.
+	// Age is the time since the verdict was given, or since the latest trial began.
 	Age time.Duration
-	// Released is true where the request was let go: the epoch began then.
+	// Released is true if the request was released from quarantine; the epoch began then.
 	Released bool
 }
--- a/core/position/position.go
+++ b/core/position/position.go
@@ -1,42 +1,40 @@
-// Package position orders places in the platform's log store over the store's eras.
+// Package position orders places in the topics of the platform's log store across the store's eras.
 //
-// The problem: the store may come back from a copy some seconds old. What it had
-// acknowledged since is gone, and its offsets are given out again, so that an offset
-// alone no longer says which of two records is newer, whether one was read already, or
-// which of two fences is higher. The model: a [Position] is an era and an offset in one
-// number, which only rises: any position of an era lies after all of those before. An
-// append at a position of an earlier era never counts, whatever the store did with it.
+// The store may be restored from a backup that is some seconds old. Records that it had acknowledged since then are
+// lost, and it assigns their offsets again. An offset alone then no longer tells which of two records is newer,
+// whether a record was read already, or which of two fencing numbers is higher. Each restore therefore begins a
+// new era. A [Position] combines era and offset into one number: every position of an era is greater than all
+// positions of earlier eras. An append at a position of an earlier era never counts, whatever the store did with it.
 package position
 
 import "fmt"
 
-// Position is a place in a topic. The zero value is the beginning of a store that was
-// never put back.
+// Position is a place in a topic: the era in the upper bits, the offset in the lower ones. The zero value is the
+// beginning of a store that was never restored.
 type Position = uint64
 
-// offsetBits is the part of a position that the offset takes. With eraBits a position, and
-// a fence made of it, stays below 2^53, which every number on the wire can hold.
+// Sizes of the parts of a position in bits. Together they keep a position, and a fencing number derived from it, below
+// 2^53, which every number format on the wire can represent.
 const (
 	offsetBits = 40
 	eraBits    = 12
 )
 
-// The greatest era and offset that a position can hold: 4,095 returns, and 30 years of
-// 1,000 records a second.
+// Greatest era and offset that a position can represent: 4,095 restores, and 30 years of 1,000 records a second.
 const (
 	MostEra    = 1<<eraBits - 1
 	MostOffset = 1<<offsetBits - 1
 )
 
-// RangeError says that the store told a place beyond what a position holds.
+// RangeError is returned for an era or offset of the store that exceeds the range of a position.
 type RangeError struct{ Era, Offset uint64 }
 
 // Error implements error.
 func (e RangeError) Error() string {
-	return fmt.Sprintf("era %d and offset %d of the store: at most %d and %d can be told apart; begin with a new store", e.Era, e.Offset, MostEra, MostOffset)
+	return fmt.Sprintf("era %d and offset %d of the store exceed the maxima %d and %d; begin with a new store", e.Era, e.Offset, MostEra, MostOffset)
 }
 
-// Of returns the position of an offset in an era.
+// Of returns the position of an offset in an era, or a [RangeError].
 func Of(era, offset uint64) (Position, error) {
 	if era > MostEra || offset > MostOffset {
 		return 0, RangeError{era, offset}
@@ -44,7 +42,7 @@
 	return era<<offsetBits | offset, nil
 }
 
-// Begin returns the first position of an era, which Of has taken.
+// Begin returns the first position of an era, which must be in the range that [Of] accepts.
 func Begin(era uint64) Position { return era << offsetBits }
 
 // Era returns the era of a position.
--- a/core/position/position_test.go
+++ b/core/position/position_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestOrder checks that positions order by era first, come apart as they were put
-// together, and fit into a number of 53 bits with the fence made of them.
+// TestOrder checks that positions are ordered by era and then by offset, that both can be extracted again, and that
+// a position and the fencing number derived from it fit into 53 bits.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e1, e2 := rapid.Uint64Range(0, MostEra).Draw(t, "era1"), rapid.Uint64Range(0, MostEra).Draw(t, "era2")
@@ -22,15 +22,15 @@
 			t.Fatalf("%d < %d = %t", p1, p2, !want)
 		}
 		if Era(p1) != e1 || Offset(p1) != o1 || p1 < Begin(e1) {
-			t.Fatalf("%d comes apart as %d, %d", p1, Era(p1), Offset(p1))
+			t.Fatalf("%d has era %d and offset %d", p1, Era(p1), Offset(p1))
 		}
 		if p1+1 >= 1<<53 {
-			t.Fatalf("the fence of %d takes more than 53 bits", p1)
+			t.Fatalf("the fencing number of %d takes more than 53 bits", p1)
 		}
 	})
 }
 
-// TestRange checks that what does not fit is an error, never another position.
+// TestRange checks that an era or offset out of range is an error and never yields the position of another one.
 func TestRange(t *testing.T) {
 	for _, tt := range []struct{ era, offset uint64 }{{MostEra + 1, 0}, {0, MostOffset + 1}} {
 		_, err := Of(tt.era, tt.offset)
--- a/core/region/region.go
+++ b/core/region/region.go
@@ -1,9 +1,11 @@
-// Package region decides where a request's body may go: a route and a customer
-// may each name the regions that may serve it, and where both do, each binds.
+// Package region determines the regions to which a request's body may be sent. A route and a customer may each
+// restrict the regions that may serve a request; if both do, both restrictions apply.
+//
+// A pool of endpoints is divided by the allowed regions. The name of each part is the pool's name with the regions.
 //
 //	s, err := region.Of([]string{"eu", "us"}, []string{"us"})
 //	s.Allows("us") // true
-//	s.Pool("p")    // "p@us", the part of a pool
+//	s.Pool("p")    // "p@us", the part of the pool p in the region us
 package region
 
 import (
@@ -12,15 +14,15 @@
 	"strings"
 )
 
-// Set is the regions that may serve a request; the zero value allows all.
+// Set is a set of allowed regions. The zero value allows all regions.
 type Set struct {
-	// names are in order; nil for all.
+	// names is sorted and without duplicates; nil allows all regions.
 	names []string
 }
 
-// Conflict is returned where no region is allowed by both sides.
+// Conflict is the error for a request whose route and customer have no allowed region in common.
 type Conflict struct {
-	// Route and Customer are the regions that each allows.
+	// Route and Customer are the regions that each of them allows.
 	Route, Customer []string
 }
 
@@ -29,15 +31,16 @@
 	return fmt.Sprintf("the route allows the regions %q and the customer %q: none of them is in both; give allowed_regions of one of them a region of the other", c.Route, c.Customer)
 }
 
-// Of returns the regions that a route and a customer both allow; an empty list allows all.
+// Of returns the regions that both a route and a customer allow. An empty list allows all regions. It returns a
+// [Conflict] if they have no region in common.
 func Of(route, customer []string) (Set, error) {
 	switch {
 	case len(route) == 0 && len(customer) == 0:
 		return Set{}, nil
 	case len(route) == 0:
-		return of(customer), nil
+		return newSet(customer), nil
 	case len(customer) == 0:
-		return of(route), nil
+		return newSet(route), nil
 	}
 	var both []string
 	for _, name := range route {
@@ -48,30 +51,30 @@
 	if len(both) == 0 {
 		return Set{}, Conflict{route, customer}
 	}
-	return of(both), nil
+	return newSet(both), nil
 }
 
-func of(names []string) Set {
+func newSet(names []string) Set {
 	names = slices.Clone(names)
 	slices.Sort(names)
 	return Set{slices.Compact(names)}
 }
 
-// All reports whether every region is allowed.
+// All reports whether all regions are allowed.
 func (s Set) All() bool { return s.names == nil }
 
-// Allows reports whether a region is allowed. One that is not known, "", is allowed only where all are.
+// Allows reports whether a region is allowed. The unknown region "" is allowed only if all regions are.
 func (s Set) Allows(name string) bool {
 	return s.names == nil || name != "" && slices.Contains(s.names, name)
 }
 
-// separators of a pool's name and its regions.
+// Separators in the name of a part of a pool: before its regions, and between them.
 const (
 	poolSeparator   = "@"
 	regionSeparator = "+"
 )
 
-// Pool returns the name of the part of a pool that the regions allow.
+// Pool returns the name of the part of a pool that is in the allowed regions; the pool's own name if all are allowed.
 func (s Set) Pool(name string) string {
 	if s.All() {
 		return name
@@ -79,7 +82,7 @@
 	return name + poolSeparator + strings.Join(s.names, regionSeparator)
 }
 
-// SplitPool returns the pool that a name is a part of, and the regions of that part.
+// SplitPool is the inverse of [Set.Pool]: it returns the pool and the allowed regions of the name of a part.
 func SplitPool(name string) (pool string, s Set) {
 	i := strings.LastIndex(name, poolSeparator)
 	if i < 0 {
--- a/core/region/region_test.go
+++ b/core/region/region_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestOf checks what a route's and a customer's regions come to, and that the name of a pool keeps them.
+// TestOf checks the allowed regions of a route and a customer, and that SplitPool restores them from a pool's name.
 func TestOf(t *testing.T) {
 	tests := []struct {
 		name            string
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestUnknownRegion checks that an endpoint whose region nobody knows serves only requests that may go anywhere.
+// TestUnknownRegion guards against sending a restricted request to an endpoint whose region is unknown.
 func TestUnknownRegion(t *testing.T) {
 	some, err := Of([]string{"a"}, nil)
 	if err != nil {
--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,10 +1,10 @@
-// Package rendezvous chooses homes: for each key, the node that gathers what
-// concerns it and acts for all.
+// Package rendezvous assigns each key a home: the node that collects the information about the key and acts on it
+// for all nodes.
 //
-// The problem: nodes must agree on a home without talking, and when a node
-// comes or goes only its own keys may move. The model is highest-random-weight
-// hashing: every node scores every key, the highest score is the home. A home
-// only saves work; no promise rests on two nodes naming the same one.
+// Nodes must agree on a home without communicating, and when a node joins or leaves, only its own keys may move. The
+// package uses highest-random-weight hashing: every node has a score for every key, and the node with the highest
+// score is the key's home. A home only saves work: correctness must not depend on two nodes naming the same one,
+// since they may know different sets of nodes.
 package rendezvous
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Home returns the node with the highest score for key, or "" of no nodes.
+// Home returns the node with the highest score for key, or "" if nodes is empty.
 func Home(key string, nodes []string) string {
 	var best string
 	var bestScore uint64
@@ -26,8 +26,7 @@
 	return best
 }
 
-// Rank returns the nodes by falling score for key: the home first, then the
-// nodes that stand in for it.
+// Rank returns the nodes by descending score for key: the home first, then the nodes that replace it in turn.
 func Rank(key string, nodes []string) []string {
 	out := append([]string(nil), nodes...)
 	sort.Slice(out, func(i, j int) bool {
@@ -40,7 +39,7 @@
 	return out
 }
 
-// Score returns the weight of a node for a key.
+// Score returns the score of a node for a key, a hash of both.
 func Score(key, node string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/core/rendezvous/table.go
+++ b/core/rendezvous/table.go
@@ -1,36 +1,35 @@
 package rendezvous
 
-// Table keeps the homes of keys while nodes come and go. A node that comes costs
-// one score a key, and one that goes only the keys it had, so that a fleet in
-// which some node is replaced every few seconds does not work all homes out anew
-// each time. It is owned by one goroutine.
+// Table caches the homes of keys while nodes join and leave. A node that joins costs one score per key, and one that
+// leaves costs only the keys whose home it was, so that a fleet in which a node is replaced every few seconds does
+// not recompute all homes each time. It is not safe for concurrent use; one goroutine owns it.
 type Table struct {
 	nodes []string
 	homes map[string]home
 }
 
-// home is the winner of a key with its score.
+// home is the home of a key with its score.
 type home struct {
 	node  string
 	score uint64
 }
 
-// NewTable returns a table without nodes.
+// NewTable returns a table without nodes and keys.
 func NewTable() *Table { return &Table{homes: make(map[string]home)} }
 
-// Update puts another set of nodes in force, in order.
+// Update replaces the set of nodes and adapts the cached homes.
 func (t *Table) Update(nodes []string) {
-	came, gone := diff(t.nodes, nodes)
-	if len(came)+len(gone) == 0 {
+	joined, left := diff(t.nodes, nodes)
+	if len(joined)+len(left) == 0 {
 		return
 	}
 	t.nodes = append([]string(nil), nodes...)
 	for key, h := range t.homes {
-		if gone[h.node] {
+		if left[h.node] {
 			delete(t.homes, key)
 			continue
 		}
-		for _, n := range came {
+		for _, n := range joined {
 			if s := Score(key, n); s > h.score || (s == h.score && n < h.node) {
 				h = home{n, s}
 				t.homes[key] = h
@@ -39,23 +38,23 @@
 	}
 }
 
-// diff returns the nodes that came and those that are gone.
-func diff(old, now []string) (came []string, gone map[string]bool) {
-	gone = make(map[string]bool)
+// diff returns the nodes that are only in now, and those that are only in old.
+func diff(old, now []string) (joined []string, left map[string]bool) {
+	left = make(map[string]bool)
 	for _, n := range old {
-		gone[n] = true
+		left[n] = true
 	}
 	for _, n := range now {
-		if gone[n] {
-			delete(gone, n)
+		if left[n] {
+			delete(left, n)
 		} else {
-			came = append(came, n)
+			joined = append(joined, n)
 		}
 	}
-	return came, gone
+	return joined, left
 }
 
-// Home returns the home of a key, or "" without nodes.
+// Home returns the home of a key, or "" if there are no nodes.
 func (t *Table) Home(key string) string {
 	h, ok := t.homes[key]
 	if !ok && len(t.nodes) > 0 {
--- a/core/rendezvous/table_test.go
+++ b/core/rendezvous/table_test.go
@@ -8,8 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestTableAgreesWithHome lets nodes come and go and expects that the table
-// names the homes that working them out anew would.
+// TestTableAgreesWithHome checks that a table has the homes that Home computes, after nodes have joined and left.
 func TestTableAgreesWithHome(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := NewTable()
@@ -31,7 +30,7 @@
 	})
 }
 
-// BenchmarkUpdate measures a node that is replaced, with the letter's keys.
+// BenchmarkUpdate measures the replacement of one of 420 nodes in a table with 23,000 keys.
 func BenchmarkUpdate(b *testing.B) {
 	nodes := make([]string, 420)
 	for i := range nodes {
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// TestMatch checks that the longest prefix of the host wins.
+// TestMatch checks that the route with the longest matching prefix of the host is found.
 func TestMatch(t *testing.T) {
 	table, err := New(config())
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestPick checks the shares of a split route, and that an id keeps its side.
+// TestPick checks the split of a route between services, and that an id always gets the same service.
 func TestPick(t *testing.T) {
 	table, err := New(config())
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestFaults checks that a bad configuration is refused with the place.
+// TestFaults checks that an invalid configuration is refused with the name of the route at fault.
 func TestFaults(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -10,9 +10,9 @@
 	"olivetiller/core/customer"
 )
 
-// Fault is something wrong with a configuration.
+// Fault is an error in a configuration.
 type Fault struct {
-	// Where names the route or service.
+	// Where is the name of the route or service, or "customers".
 	Where   string
 	Problem string
 }
@@ -22,23 +22,24 @@
 	return fmt.Sprintf("configuration: %s: %s; correct it and publish again", f.Where, f.Problem)
 }
 
-// Table is a configuration ready for look-ups. It does not change.
+// Table is a validated configuration with indexes for look-ups. It is immutable.
 type Table struct {
 	Config   *Config
 	services map[string]*Service
 	models   map[ModelKey]*Model
-	// hosts holds the routes of a host, the longest prefix first.
+	// hosts holds the routes by host, those with longer prefixes first.
 	hosts map[string][]*Route
-	// customers are found beside the routes, so that a version takes hold of both at once.
+	// customers is the index of the customers. It is part of the table, so that routes and customers of a
+	// version take effect together.
 	customers *customer.Index
 }
 
-// ModelKey names a model of a service.
+// ModelKey identifies a model of a service.
 type ModelKey struct {
 	Service, Model string
 }
 
-// New checks a configuration and makes its table.
+// New validates a configuration and returns its table. It returns a [Fault] if the configuration is invalid.
 func New(c *Config) (*Table, error) {
 	t := &Table{
 		Config: c, services: make(map[string]*Service, len(c.Services)),
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// Match returns the route of a request, or nil.
+// Match returns the route with the longest prefix of path on a host, or nil.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -98,23 +99,23 @@
 	return nil
 }
 
-// Keyed reports whether requests need keys.
+// Keyed reports whether requests need keys, which holds if the configuration names customers.
 func (t *Table) Keyed() bool { return len(t.Config.Customers) > 0 }
 
-// Holder returns the customer that holds a key, or nil.
+// Holder returns the customer that owns a key, by the key's digest, or nil.
 func (t *Table) Holder(k customer.Digest) *customer.Customer { return t.customers.Holder(k) }
 
-// Customer returns the customer of a name, or nil.
+// Customer returns the customer with a name, or nil.
 func (t *Table) Customer(name string) *customer.Customer { return t.customers.Named(name) }
 
-// Service returns a service, or nil.
+// Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Model returns a model of a service, or nil.
+// Model returns a model of a service by name, or nil.
 func (t *Table) Model(service, model string) *Model { return t.models[ModelKey{service, model}] }
 
-// Pick returns the service for a request. Equal ids get equal services, so that
-// a request does not change sides between its attempts.
+// Pick returns the name of the service for a request, at random by weight. It depends only on the request's id, so
+// that all attempts of a request go to the same service.
 func (r *Route) Pick(id string) string {
 	total := 0
 	for _, s := range r.Services {
