--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -125,7 +125,8 @@
 	d.tombstones[e.ID] = e
 }
 
-// StoreAway records that the store did not answer now: deletions count only after registerGrace.
+// StoreAway records that the store did not answer at now. Entries that are deleted within the following registerGrace
+// count as gone only at its end.
 func (d *Directory) StoreAway(now time.Time) { d.deletionsValidAt = now.Add(registerGrace) }
 
 // Apply applies one record and returns what changed.
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -12,7 +12,7 @@
 // at returns the time ms milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func there(id string) Record {
+func registered(id string) Record {
 	return Record{ID: id, Instance: &Instance{ID: id, Service: "s", Address: "a:1"}}
 }
 
@@ -22,7 +22,7 @@
 	return r
 }
 
-func leaving(id string) Record {
+func draining(id string) Record {
 	return Record{ID: id, Instance: &Instance{ID: id, Service: "s", Address: "a:1", Draining: true}}
 }
 
@@ -35,59 +35,59 @@
 		// want lists the live ids; a trailing minus marks a draining endpoint.
 		want []string
 	}{
-		{"recorded", func(d *Directory) { d.Apply(there("a"), at(0)) }, at(9000), []string{"a"}},
+		{"recorded", func(d *Directory) { d.Apply(registered("a"), at(0)) }, at(9000), []string{"a"}},
 		{"gone while the store was well", func(d *Directory) {
-			d.Apply(there("a"), at(0))
+			d.Apply(registered("a"), at(0))
 			d.Apply(Record{ID: "a"}, at(100))
 		}, at(100), nil},
 		{"vanished after the store was away", func(d *Directory) {
-			d.Apply(there("a"), at(0))
+			d.Apply(registered("a"), at(0))
 			d.StoreAway(at(5000))
 			d.Apply(Record{ID: "a"}, at(5100))
 		}, at(7400), []string{"a"}},
 		{"vanished and still missing later", func(d *Directory) {
-			d.Apply(there("a"), at(0))
+			d.Apply(registered("a"), at(0))
 			d.StoreAway(at(5000))
 			d.Apply(Record{ID: "a"}, at(5100))
 		}, at(7500), nil},
 		{"vanished and back", func(d *Directory) {
-			d.Apply(there("a"), at(0))
+			d.Apply(registered("a"), at(0))
 			d.StoreAway(at(5000))
 			d.Apply(Record{ID: "a"}, at(5100))
-			d.Apply(there("a"), at(6500))
+			d.Apply(registered("a"), at(6500))
 		}, at(9000), []string{"a"}},
 		{"leaving and recorded as ready by an older record", func(d *Directory) {
-			d.Apply(leaving("a"), at(0))
-			d.Apply(there("a"), at(10))
+			d.Apply(draining("a"), at(0))
+			d.Apply(registered("a"), at(10))
 		}, at(20), []string{"a-"}},
 		{"said itself that it leaves", func(d *Directory) {
-			d.Apply(there("a"), at(0))
+			d.Apply(registered("a"), at(0))
 			d.Drain("a")
-			d.Apply(there("a"), at(10))
+			d.Apply(registered("a"), at(10))
 		}, at(20), []string{"a-"}},
 		{"missing on a whole list", func(d *Directory) {
-			d.Apply(there("a"), at(0))
-			d.Replace([]Record{there("b")}, 0, at(10), func(Record, Change) {})
+			d.Apply(registered("a"), at(0))
+			d.Replace([]Record{registered("b")}, 0, at(10), func(Record, Change) {})
 		}, at(10), []string{"b"}},
 		{"recorded after a whole list was read", func(d *Directory) {
-			d.Apply(version(7, there("a")), at(0))
-			d.Replace([]Record{version(3, there("b"))}, 5, at(10), func(Record, Change) {})
+			d.Apply(version(7, registered("a")), at(0))
+			d.Replace([]Record{version(3, registered("b"))}, 5, at(10), func(Record, Change) {})
 		}, at(10), []string{"a", "b"}},
 		{"gone, and relayed by one that has not heard", func(d *Directory) {
-			d.Apply(version(3, there("a")), at(0))
+			d.Apply(version(3, registered("a")), at(0))
 			d.Apply(version(7, Record{ID: "a"}), at(10))
-			d.Apply(version(3, there("a")), at(20))
+			d.Apply(version(3, registered("a")), at(20))
 		}, at(20), nil},
 		{"gone, and relayed as trusted a little longer", func(d *Directory) {
 			d.Apply(version(7, Record{ID: "a"}), at(10))
-			d.Apply(version(7, there("a")), at(20))
+			d.Apply(version(7, registered("a")), at(20))
 		}, at(20), nil},
 		{"gone, and back by a later record", func(d *Directory) {
 			d.Apply(version(7, Record{ID: "a"}), at(10))
-			d.Apply(version(9, there("a")), at(20))
+			d.Apply(version(9, registered("a")), at(20))
 		}, at(20), []string{"a"}},
 		{"relayed as gone by one that has not heard of its return", func(d *Directory) {
-			d.Apply(version(9, there("a")), at(10))
+			d.Apply(version(9, registered("a")), at(10))
 			d.Apply(version(7, Record{ID: "a"}), at(20))
 		}, at(20), []string{"a"}},
 	}
@@ -114,10 +114,10 @@
 // known from the entry itself.
 func TestRelayed(t *testing.T) {
 	d := New()
-	whole := there("a")
+	whole := registered("a")
 	whole.Instance.Holdings = Holdings{Models: []Held{{Model: "m"}}}
 	d.Apply(whole, at(0))
-	relayed := leaving("a")
+	relayed := draining("a")
 	relayed.Relayed = true
 	if got := d.Apply(relayed, at(1)); got != Place {
 		t.Errorf("Apply = %v, want Place", got)
@@ -132,7 +132,7 @@
 // TestApplyReportsChanges checks that Apply reports no change for a heartbeat or a repeated deletion.
 func TestApplyReportsChanges(t *testing.T) {
 	d := New()
-	got := []Change{d.Apply(there("a"), at(0)), d.Apply(there("a"), at(1)), d.Apply(leaving("a"), at(2)), d.Apply(Record{ID: "a"}, at(3)), d.Apply(Record{ID: "a"}, at(4))}
+	got := []Change{d.Apply(registered("a"), at(0)), d.Apply(registered("a"), at(1)), d.Apply(draining("a"), at(2)), d.Apply(Record{ID: "a"}, at(3)), d.Apply(Record{ID: "a"}, at(4))}
 	if diff := cmp.Diff([]Change{Place, Unchanged, Place, Place, Unchanged}, got); diff != "" {
 		t.Errorf("Apply (-want +got):\n%s", diff)
 	}
@@ -144,9 +144,9 @@
 		r.Instance.Start = s
 		return r
 	}
-	holding := there("a")
+	holding := registered("a")
 	holding.Instance.Models = []Held{{Model: "m"}}
-	relayed := started(2, there("a"))
+	relayed := started(2, registered("a"))
 	relayed.Relayed = true
 	tests := []struct {
 		name   string
@@ -154,11 +154,11 @@
 		second Record
 		want   Instance
 	}{
-		{"one that left takes work again", started(1, leaving("a")), started(2, there("a")), Instance{ID: "a", Start: 2, Service: "s", Address: "a:1"}},
-		{"one that leaves does not without a new start", started(1, leaving("a")), started(1, there("a")), Instance{ID: "a", Start: 1, Service: "s", Address: "a:1", Draining: true}},
+		{"one that left takes work again", started(1, draining("a")), started(2, registered("a")), Instance{ID: "a", Start: 2, Service: "s", Address: "a:1"}},
+		{"one that leaves does not without a new start", started(1, draining("a")), started(1, registered("a")), Instance{ID: "a", Start: 1, Service: "s", Address: "a:1", Draining: true}},
 		{"a relayed start ends what it held", started(1, holding), relayed, Instance{ID: "a", Start: 2, Service: "s", Address: "a:1"}},
-		{"a record of a former start changes nothing", started(2, there("a")), started(1, leaving("a")), Instance{ID: "a", Start: 2, Service: "s", Address: "a:1"}},
-		{"a later record of a clock set back counts", version(1, started(2, there("a"))), version(2, started(1, leaving("a"))), Instance{ID: "a", Start: 1, Service: "s", Address: "a:1", Draining: true}},
+		{"a record of a former start changes nothing", started(2, registered("a")), started(1, draining("a")), Instance{ID: "a", Start: 2, Service: "s", Address: "a:1"}},
+		{"a later record of a clock set back counts", version(1, started(2, registered("a"))), version(2, started(1, draining("a"))), Instance{ID: "a", Start: 1, Service: "s", Address: "a:1", Draining: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -176,7 +176,7 @@
 // in whatever order the entries arrive.
 func TestForeignEntries(t *testing.T) {
 	started := func(id string) Record {
-		r := there(id)
+		r := registered(id)
 		r.Instance.Start = 5
 		return r
 	}
@@ -185,11 +185,11 @@
 		records []Record
 		want    []string
 	}{
-		{"where none tells one", []Record{there("x"), there("y")}, []string{"x", "y"}},
-		{"before", []Record{there("x"), started("a"), started("b")}, []string{"a", "b"}},
-		{"after", []Record{started("a"), started("b"), there("x")}, []string{"a", "b"}},
-		{"another writer's start alone", []Record{there("x"), there("y"), started("a")}, []string{"a", "x", "y"}},
-		{"entries that are gone do not count", []Record{there("x"), there("y"), started("a"), {ID: "x"}, {ID: "y"}}, []string{"a"}},
+		{"where none tells one", []Record{registered("x"), registered("y")}, []string{"x", "y"}},
+		{"before", []Record{registered("x"), started("a"), started("b")}, []string{"a", "b"}},
+		{"after", []Record{started("a"), started("b"), registered("x")}, []string{"a", "b"}},
+		{"another writer's start alone", []Record{registered("x"), registered("y"), started("a")}, []string{"a", "x", "y"}},
+		{"entries that are gone do not count", []Record{registered("x"), registered("y"), started("a"), {ID: "x"}, {ID: "y"}}, []string{"a"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/core/feedtree/feedtree.go
+++ b/core/feedtree/feedtree.go
@@ -107,9 +107,10 @@
 	largeFleetDelay = 1500 * time.Millisecond
 )
 
-// Patience returns how long a node that follows no other node waits before it reads the store itself, in a fleet of
-// that many nodes; 0 if the size is unknown. Draw is a random number from 0 to 1 that spreads the nodes' reads. The
-// delay is 0 in a fleet that the holder can serve alone.
+// Patience returns how long a node that follows no other node waits before it reads the store itself. Nodes is the size
+// of the fleet, 0 if unknown. Draw is the node's own constant number between 0 and 1, spread evenly over all nodes, so
+// that they do not read at the same time. The delay is 0 in a fleet of at most FanOut nodes, which the holder can serve
+// alone.
 func Patience(nodes int, draw float64) time.Duration {
 	switch {
 	case nodes <= 0:
--- a/core/feedtree/feedtree_test.go
+++ b/core/feedtree/feedtree_test.go
@@ -22,8 +22,8 @@
 	return out
 }
 
-// TestFollowersPerFeeder checks that followers are spread over the feeders of their own hall, so that none has many
-// more than FanOut, and that weak nodes do not become feeders. Fleets have 1 node to twice the largest known number.
+// TestFollowersPerFeeder checks that followers are spread over the feeders of their own hall, so that none has over
+// a quarter more than FanOut, and that weak nodes do not become feeders. Fleets have 1 node to twice the largest known number.
 func TestFollowersPerFeeder(t *testing.T) {
 	for _, size := range []int{1, 7, 71, 128, 129, 300, 984, 2000} {
 		nodes := fleet(size, 5)
@@ -33,7 +33,7 @@
 			if choices := Choices(feeders, n.Name, n.Hall); len(choices) > 0 {
 				children[choices[0].Name]++
 				if choices[0].Hall != n.Hall {
-					t.Errorf("%d nodes: %s of hall %s is fed from hall %s", size, n.Name, n.Hall, choices[0].Hall)
+					t.Errorf("%d nodes: %s of hall %s follows a feeder of hall %s", size, n.Name, n.Hall, choices[0].Hall)
 				}
 			} else {
 				children["holder"]++
@@ -41,12 +41,12 @@
 		}
 		for name, k := range children {
 			if k > FanOut+FanOut/4 {
-				t.Errorf("%d nodes: %s feeds %d, want about %d at most", size, name, k, FanOut)
+				t.Errorf("%d nodes: %s has %d followers, want at most about %d", size, name, k, FanOut)
 			}
 		}
 		for _, f := range feeders {
 			if f.Strength < 1600 {
-				t.Errorf("%d nodes: %s, a weak node, feeds others", size, f.Name)
+				t.Errorf("%d nodes: %s is a feeder although it is weak", size, f.Name)
 			}
 		}
 	}
@@ -70,7 +70,7 @@
 		}
 		for i, f := range before {
 			if i != gone && !IsFeeder(after, f.Name) && len(after) >= len(before) {
-				t.Errorf("feeder %s is none after %s was lost", f.Name, before[gone].Name)
+				t.Errorf("feeder %s lost its role after %s was lost", f.Name, before[gone].Name)
 			}
 		}
 		if IsFeeder(after, before[gone].Name) {
@@ -92,7 +92,7 @@
 // reads a second of the store, and that small fleets do not wait.
 func TestReadDelay(t *testing.T) {
 	if diff := cmp.Diff([]time.Duration{0, 0}, []time.Duration{Patience(1, 0.9), Patience(FanOut, 0.9)}); diff != "" {
-		t.Errorf("patience of small fleets (-want +got):\n%s", diff)
+		t.Errorf("delay in small fleets (-want +got):\n%s", diff)
 	}
 	for _, nodes := range []int{300, 984, 2000} {
 		reads := make(map[time.Duration]int)
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -96,8 +96,8 @@
 	// sent in that era has been read.
 	eraWritten time.Time
 	eraTold    bool
-	// copied is true if the holder is known only from a record of an earlier era.
-	copied bool
+	// fromEarlierEra is true if the holder is known only from a record of an earlier era.
+	fromEarlierEra bool
 	// heldUntil is the value that until had after the latest renewal. Unlike until it is also kept
 	// while the store is unreachable; it is zero once another holder is known or an engine has refused
 	// the fencing number.
@@ -113,8 +113,8 @@
 	l.successor, l.delay = successor, delay
 }
 
-// reach records that the topic was read up to a position, which may be the first one of a new era.
-func (l *Lease) reach(p position.Position, now time.Time) {
+// advance records that the topic was read up to a position, which may be the first one of a new era.
+func (l *Lease) advance(p position.Position, now time.Time) {
 	if p < l.end {
 		return
 	}
@@ -130,7 +130,7 @@
 	if offset < l.end {
 		return
 	}
-	l.reach(offset+1, now)
+	l.advance(offset+1, now)
 	l.refused = false
 	if r.Era != position.Era(offset) {
 		l.foldCopy(r, now)
@@ -145,11 +145,11 @@
 		l.holder, l.until, l.freeSince = Record{}, time.Time{}, time.Time{}
 	case r.Release:
 		// A release by a previous holder changes nothing.
-	case same && !l.copied:
+	case same && !l.fromEarlierEra:
 		l.holder, l.latestPos, l.seenAt = r, offset, now
 	default:
 		l.retire()
-		l.holder, l.latestPos, l.fence, l.seenAt, l.copied = r, offset, offset+1, now, false
+		l.holder, l.latestPos, l.fence, l.seenAt, l.fromEarlierEra = r, offset, offset+1, now, false
 	}
 	if !l.heldBySelf() {
 		l.until, l.heldUntil = time.Time{}, time.Time{}
@@ -160,10 +160,10 @@
 // it; to other nodes it shows which node may still be sending orders.
 func (l *Lease) foldCopy(r Record, now time.Time) {
 	switch {
-	case l.holder.Holder == "" && l.former.Holder == "" && !r.Release, l.copied && !r.Release:
-		l.holder, l.seenAt, l.copied = r, now, true
-	case l.copied && r.SameLife(l.holder):
-		l.holder, l.copied = Record{}, false
+	case l.holder.Holder == "" && l.former.Holder == "" && !r.Release, l.fromEarlierEra && !r.Release:
+		l.holder, l.seenAt, l.fromEarlierEra = r, now, true
+	case l.fromEarlierEra && r.SameLife(l.holder):
+		l.holder, l.fromEarlierEra = Record{}, false
 	}
 }
 
@@ -177,7 +177,7 @@
 // CaughtUp records that the topic was read to its end, a position. Records before it may be missing
 // if the platform has truncated the topic.
 func (l *Lease) CaughtUp(end uint64, now time.Time) {
-	l.reach(end, now)
+	l.advance(end, now)
 	l.readAt, l.takeoverPending = now, false
 }
 
@@ -277,7 +277,7 @@
 	sent := l.sentAt
 	l.sentAt = time.Time{}
 	l.Fold(offset, l.self, now)
-	if l.heldBySelf() && !l.copied {
+	if l.heldBySelf() && !l.fromEarlierEra {
 		l.until = sent.Add(TTL - Margin)
 		l.heldUntil = l.until
 	}
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -318,7 +318,7 @@
 	l.Wants(start)
 	l.CaughtUp(0, at(200))
 	if !l.Wants(at(200)) {
-		t.Fatal("the free lease is not wanted after the delay")
+		t.Fatal("Wants = false after the delay, although the lease is free")
 	}
 	l.Begin(at(200), nil)
 	l.Appended(0, at(210))
@@ -340,6 +340,6 @@
 	l.Begin(start, nil)
 	l.Appended(position.Begin(1), at(10))
 	if fence, held := l.Held(at(10)); held {
-		t.Errorf("held under fence %d", fence)
+		t.Errorf("the lease is held under fencing number %d by a record of an earlier era", fence)
 	}
 }
--- a/core/lease/outage.go
+++ b/core/lease/outage.go
@@ -37,6 +37,7 @@
 
 // Word is a node's latest report to the holder about its own access to the store.
 type Word struct {
+	// At is when the report was received.
 	At time.Time
 	// StoreAway is true if the node gets no answer from the store either, and no append of its own may
 	// still take effect.
--- a/core/lease/outage_test.go
+++ b/core/lease/outage_test.go
@@ -16,11 +16,11 @@
 	lately, longAgo := now.Add(-VouchFresh-1), now.Add(-silenceLimit-1)
 	away := Word{At: now.Add(-time.Second), StoreAway: true}
 	tests := []struct {
-		name  string
-		words map[string]Word
-		// told holds the nodes that only the previous holder's record names, and when they were last known.
-		told map[string]time.Time
-		want bool
+		name    string
+		reports map[string]Word
+		// named holds the nodes that only the previous holder's record names, and when they were last known.
+		named map[string]time.Time
+		want  bool
 	}{
 		{"alone", nil, nil, true},
 		{"all say so", map[string]Word{"a": away, "b": away}, nil, true},
@@ -34,10 +34,10 @@
 	}
 	for _, test := range tests {
 		o := NewOutage("h", false)
-		for n, w := range test.words {
+		for n, w := range test.reports {
 			o.Heard(n, w)
 		}
-		maps.Copy(o.lastSeen, test.told)
+		maps.Copy(o.lastSeen, test.named)
 		if got := o.unconfirmed(now); (got == "") != test.want {
 			t.Errorf("%s: node that may have reached the store = %q, want none: %t", test.name, got, test.want)
 		}
@@ -69,9 +69,9 @@
 	// held is true while the node acts as the holder; orderUntil is until when it may send orders.
 	held       bool
 	orderUntil time.Time
-	// heardAt is when it last received the holder's feed; doubted is true if that holder doubted the store.
-	heardAt time.Time
-	doubted bool
+	// heardAt is when it last received the holder's feed; holderDoubts is true if that holder doubted the store.
+	heardAt      time.Time
+	holderDoubts bool
 	// readFailedAt is when its read of the topic last failed; zero after a successful read.
 	readFailedAt time.Time
 	// readAfter and reportAfter are the earliest times of its next read and report.
@@ -119,12 +119,12 @@
 		for step := range steps {
 			w.now = w.now.Add(modelStep)
 			if step > calm {
-				w.disturb(t, step)
+				w.injectFault(t, step)
 			}
 			w.executeDue()
 			for i, m := range w.members {
 				if w.now.After(m.frozen) {
-					w.act(t, i)
+					w.runStep(t, i)
 				}
 			}
 		}
@@ -144,8 +144,8 @@
 	w.members[i], w.nodes[i], w.read[i] = m, m.Lease, 0
 }
 
-// disturb starts a random fault in one of 30 steps.
-func (w *outageModel) disturb(t *rapid.T, step int) {
+// injectFault starts a random fault in one of 30 steps.
+func (w *outageModel) injectFault(t *rapid.T, step int) {
 	if rapid.IntRange(0, 29).Draw(t, "trouble") != 0 {
 		return
 	}
@@ -189,12 +189,12 @@
 	return nil
 }
 
-// act runs one step of a node.
-func (w *outageModel) act(t *rapid.T, i int) {
+// runStep runs one runStep of a node.
+func (w *outageModel) runStep(t *rapid.T, i int) {
 	m := w.members[i]
 	h := w.holder(i)
 	if h != nil && !m.held {
-		m.heardAt, m.doubted = w.now, h.outage.Doubts(h.Lease, w.now)
+		m.heardAt, m.holderDoubts = w.now, h.outage.Doubts(h.Lease, w.now)
 		m.Succession(w.named(i, h), m.delay)
 		for ; w.read[i] < int(h.End()); w.read[i]++ {
 			m.Fold(uint64(w.read[i]), w.log[w.read[i]], w.now)
@@ -218,8 +218,8 @@
 // readTopic reads the topic if the node cannot rely on the holder's feed.
 func (w *outageModel) readTopic(i int) {
 	m := w.members[i]
-	fed := w.now.Sub(m.heardAt) <= modelHolderFresh && !m.doubted
-	if fed && !m.held || w.now.Before(m.readAfter) {
+	following := w.now.Sub(m.heardAt) <= modelHolderFresh && !m.holderDoubts
+	if following && !m.held || w.now.Before(m.readAfter) {
 		return
 	}
 	m.readAfter = w.now.Add(modelRead)
@@ -237,8 +237,8 @@
 // keepLease renews or takes the lease, and decides whether to continue after it expired.
 func (w *outageModel) keepLease(t *rapid.T, i int) {
 	m := w.members[i]
-	kept := !m.held && w.now.Sub(m.heardAt) <= modelHolderFresh && m.outage.FailedLately(w.now)
-	if !kept && m.Wants(w.now) {
+	deferring := !m.held && w.now.Sub(m.heardAt) <= modelHolderFresh && m.outage.FailedLately(w.now)
+	if !deferring && m.Wants(w.now) {
 		w.tryAppend(t, i)
 	}
 	_, held := m.Held(w.now)
@@ -292,10 +292,10 @@
 func TestDecide(t *testing.T) {
 	tests := []struct {
 		name string
-		// word is the only other node's report of 100 ms ago; nil if it is silent.
-		word *Word
-		// stood is how long this node was suspended.
-		stood time.Duration
+		// report is the only other node's report of 100 ms ago; nil if it is silent.
+		report *Word
+		// suspended is how long this node was suspended.
+		suspended time.Duration
 		// failed is how long before the decision a call to the store failed; after is the time from
 		// the end of the lease to the decision.
 		failed, after time.Duration
@@ -325,10 +325,10 @@
 			o.Heard("b", Word{At: at(5004)})
 			o.Renewed(at(5004))
 			now := l.Until().Add(tt.after)
-			if tt.word != nil {
-				o.Heard("b", Word{At: now.Add(-100 * time.Millisecond), StoreAway: tt.word.StoreAway})
+			if tt.report != nil {
+				o.Heard("b", Word{At: now.Add(-100 * time.Millisecond), StoreAway: tt.report.StoreAway})
 			}
-			o.Acting(now.Add(-tt.stood))
+			o.Acting(now.Add(-tt.suspended))
 			o.Failed(now.Add(-tt.failed))
 			if got, why := o.Decide(l, now); got != tt.want {
 				t.Errorf("Decide = %d (%s), want %d", got, why, tt.want)
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -31,7 +31,7 @@
 
 	index int
 	flow  *flow
-	order uint64
+	seq   uint64
 }
 
 // Limits bounds the size of a queue.
@@ -51,7 +51,7 @@
 	now   float64
 	items int
 	bytes int64
-	order uint64
+	seq   uint64
 }
 
 // New returns an empty queue.
@@ -75,14 +75,14 @@
 		f = &flow{caller: it.Caller, index: -1}
 		q.flows[it.Caller] = f
 	}
-	q.order++
-	it.order = q.order
+	q.seq++
+	it.seq = q.seq
 	it.flow = f
 	heap.Push(&f.items, it)
 	q.items++
 	q.bytes += it.Bytes
 	if f.index < 0 {
-		f.tag = max(f.tag, q.now)
+		f.startTag = max(f.startTag, q.now)
 		heap.Push(&q.active, f)
 	} else {
 		heap.Fix(&q.active, f.index)
@@ -97,8 +97,8 @@
 	}
 	f := q.active[0]
 	it := f.items[0]
-	q.now = f.tag
-	f.tag += max(1, it.Cost)
+	q.now = f.startTag
+	f.startTag += max(1, it.Cost)
 	q.remove(it)
 	return it
 }
@@ -178,7 +178,7 @@
 	}
 	heap.Remove(&q.active, f.index)
 	f.index = -1
-	if f.tag <= q.now || q.items == 0 {
+	if f.startTag <= q.now || q.items == 0 {
 		// A flow that is not ahead of the virtual time has no state worth keeping.
 		delete(q.flows, f.caller)
 	}
@@ -193,9 +193,9 @@
 type flow struct {
 	caller string
 	items  itemHeap
-	// tag is the start tag of the caller's next item, in virtual time.
-	tag   float64
-	index int
+	// startTag is the start tag of the caller's next item, in virtual time.
+	startTag float64
+	index    int
 }
 
 type itemHeap []*Item
@@ -206,7 +206,7 @@
 	if !h[i].Deadline.Equal(h[j].Deadline) {
 		return h[i].Deadline.Before(h[j].Deadline)
 	}
-	return h[i].order < h[j].order
+	return h[i].seq < h[j].seq
 }
 
 func (h itemHeap) Swap(i, j int) {
@@ -233,8 +233,8 @@
 func (h flowHeap) Len() int { return len(h) }
 
 func (h flowHeap) Less(i, j int) bool {
-	if h[i].tag != h[j].tag {
-		return h[i].tag < h[j].tag
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
 	a, b := h[i].items, h[j].items
 	if len(a) > 0 && len(b) > 0 && !a[0].Deadline.Equal(b[0].Deadline) {
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -31,7 +31,7 @@
 			q := New(Limits{Items: 10, Bytes: 10})
 			for _, it := range tc.push {
 				if !q.Push(it) {
-					t.Fatal("full")
+					t.Fatal("Push = false, want true")
 				}
 			}
 			var got []string
@@ -58,7 +58,7 @@
 	for i := 1; ; i++ {
 		if it := q.Pop(); it.Caller == "clerk" {
 			if i > 2 {
-				t.Errorf("the clerk was number %d", i)
+				t.Errorf("the clerk was served as number %d, want 1 or 2", i)
 			}
 			return
 		}
--- a/core/region/region_test.go
+++ b/core/region/region_test.go
@@ -24,14 +24,14 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s, err := Of(tt.route, tt.customer)
 			if (err != nil) != tt.conflict {
-				t.Errorf("error %v", err)
+				t.Errorf("Of returned the error %v", err)
 			}
 			if got := s.Pool("unit/s/m"); got != tt.pool {
 				t.Errorf("pool %q, want %q", got, tt.pool)
 			}
 			pool, back := SplitPool(s.Pool("unit/s/m"))
 			if diff := cmp.Diff([]any{"unit/s/m", s.names}, []any{pool, back.names}); diff != "" {
-				t.Errorf("read back (-want +got):\n%s", diff)
+				t.Errorf("SplitPool (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/core/retry/allowance.go
+++ b/core/retry/allowance.go
@@ -27,7 +27,7 @@
 // the others forget it. A node that has just started, or receives a count again after that, has no share for
 // one window, since the retries of its previous process are unknown and the first count may be too low.
 type Allowance struct {
-	all Limits
+	total Limits
 	// since is when the node began to receive counts; receivedAt is when it received the latest one.
 	since, receivedAt time.Time
 	// ready is true once a count was received at least one window after since.
@@ -43,14 +43,14 @@
 }
 
 // NewAllowance returns the allowance of a node that has just started. The limits apply to all nodes together.
-func NewAllowance(all Limits) *Allowance { return &Allowance{all: all} }
+func NewAllowance(total Limits) *Allowance { return &Allowance{total: total} }
 
 // Heard records the number of nodes that share the limits, as counted by the lease holder.
 func (a *Allowance) Heard(nodes int, now time.Time) {
 	if a.Nodes(now) == 0 || !a.receiving(now) {
 		a.since, a.ready = now, false
 	}
-	a.ready = a.ready || now.Sub(a.since) >= a.all.Window
+	a.ready = a.ready || now.Sub(a.since) >= a.total.Window
 	for len(a.counts) > 0 && a.counts[len(a.counts)-1].nodes <= nodes {
 		a.counts = a.counts[:len(a.counts)-1]
 	}
@@ -79,11 +79,11 @@
 
 // Limits returns the limits of this node's budget.
 func (a *Allowance) Limits(now time.Time) Limits {
-	l := a.all
+	l := a.total
 	l.Share *= usedFraction
 	l.Reserve = 0
 	if n := a.Nodes(now); n > 0 && a.ready && a.receiving(now) {
-		l.Reserve = a.all.Reserve * usedFraction / float64(n)
+		l.Reserve = a.total.Reserve * usedFraction / float64(n)
 	}
 	return l
 }
--- a/core/retry/allowance_test.go
+++ b/core/retry/allowance_test.go
@@ -31,7 +31,7 @@
 // sim is a deployment in virtual time. One node holds the lease and sends the others the number of nodes
 // that reported to it.
 type sim struct {
-	all    Limits
+	total  Limits
 	r      *rand.Rand
 	now    time.Time
 	nodes  []*simNode
@@ -45,8 +45,8 @@
 	injectFault func(s *sim)
 }
 
-func newSim(nodes int, all Limits, seed uint64) *sim {
-	s := &sim{all: all, r: rand.New(rand.NewPCG(seed, 1)), now: start, partitioned: make([]bool, nodes)}
+func newSim(nodes int, total Limits, seed uint64) *sim {
+	s := &sim{total: total, r: rand.New(rand.NewPCG(seed, 1)), now: start, partitioned: make([]bool, nodes)}
 	for range nodes {
 		s.nodes = append(s.nodes, nil)
 	}
@@ -58,7 +58,7 @@
 
 // restart replaces the process of a node.
 func (s *sim) restart(i int) {
-	s.nodes[i] = &simNode{allowance: NewAllowance(s.all), budget: NewBudget(Limits{}), reportedAt: make(map[int]time.Time), reportAt: s.now.Add(s.randomDelay())}
+	s.nodes[i] = &simNode{allowance: NewAllowance(s.total), budget: NewBudget(Limits{}), reportedAt: make(map[int]time.Time), reportAt: s.now.Add(s.randomDelay())}
 }
 
 // setHolder makes a node the lease holder. It has received no reports yet.
@@ -116,7 +116,7 @@
 			s.sent = append(s.sent, s.now)
 		}
 	}
-	for len(s.sent) > 0 && s.now.Sub(s.sent[0]) >= s.all.Window {
+	for len(s.sent) > 0 && s.now.Sub(s.sent[0]) >= s.total.Window {
 		s.sent = s.sent[1:]
 	}
 	s.maxInWindow = max(s.maxInWindow, len(s.sent))
@@ -253,7 +253,7 @@
 					return
 				}
 			}
-			t.Error("20 seeds kept the bound")
+			t.Error("no seed of 20 exceeded the bound, although the fault is injected")
 		})
 	}
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -67,7 +67,7 @@
 		}
 	}
 	if n < 800 || n > 1200 {
-		t.Errorf("%d of 10000 went to the tenth", n)
+		t.Errorf("%d of 10000 requests went to the service with a tenth of the weight, want 800 to 1200", n)
 	}
 }
 
--- a/core/view/view.go
+++ b/core/view/view.go
@@ -27,7 +27,7 @@
 	Start int64
 	// Incarnation distinguishes a restarted or replaced endpoint from its predecessor of the same name.
 	Incarnation uint64
-	// Concurrency is the number of requests that the endpoint processes concurrently, over all nodes.
+	// Concurrency is the number of requests from all nodes together that the endpoint processes concurrently.
 	Concurrency int
 	// ColdUntil is until when the endpoint takes at most ColdRate requests a second, over all nodes; a time
 	// in the past if it is warm.
