--- a/core/retry/allowance.go
+++ b/core/retry/allowance.go
@@ -32,7 +32,7 @@
 	since, receivedAt time.Time
 	// ready is true once a count was received at least one window after since.
 	ready bool
-	// counts holds the received counts that no later one equals or exceeds, oldest and largest first.
+	// counts holds the received counts that no later one exceeds, oldest and largest first.
 	counts []nodeCount
 }
 
