--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -15,7 +15,7 @@
 	return &Item{Caller: caller, Deadline: zero.Add(time.Duration(deadline) * time.Second), Cost: 1, Bytes: 1, Value: fmt.Sprint(caller, deadline)}
 }
 
-// TestOrder pushes items and expects the order in which they leave.
+// TestOrder checks the order in which pushed items leave the queue.
 func TestOrder(t *testing.T) {
 	tests := []struct {
 		name string
@@ -31,7 +31,7 @@
 			q := New(Limits{Items: 10, Bytes: 10})
 			for _, it := range tc.push {
 				if !q.Push(it) {
-					t.Fatal("full")
+					t.Fatal("Push = false, want true")
 				}
 			}
 			var got []string
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestBatchDoesNotStarveClerk lets a clerk arrive behind a museum's thousand.
+// TestBatchDoesNotStarveClerk guards against a caller that waits behind another caller's batch of 1000 items.
 func TestBatchDoesNotStarveClerk(t *testing.T) {
 	q := New(Limits{Items: 2000, Bytes: 2000})
 	for i := range 1000 {
@@ -58,14 +58,14 @@
 	for i := 1; ; i++ {
 		if it := q.Pop(); it.Caller == "clerk" {
 			if i > 2 {
-				t.Errorf("the clerk was number %d", i)
+				t.Errorf("the clerk was served as number %d, want 1 or 2", i)
 			}
 			return
 		}
 	}
 }
 
-// TestQueueProperties drives random pushes, pops and removals.
+// TestQueueProperties checks the contents, size and limits of the queue after random pushes, pops and removals.
 func TestQueueProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := New(Limits{Items: 20, Bytes: 30})
--- a/core/region/region_test.go
+++ b/core/region/region_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestOf checks what a route's and a customer's regions come to, and that the name of a pool keeps them.
+// TestOf checks the allowed regions of a route and a customer, and that SplitPool restores them from a pool's name.
 func TestOf(t *testing.T) {
 	tests := []struct {
 		name            string
@@ -24,20 +24,20 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s, err := Of(tt.route, tt.customer)
 			if (err != nil) != tt.conflict {
-				t.Errorf("error %v", err)
+				t.Errorf("Of returned the error %v", err)
 			}
 			if got := s.Pool("unit/s/m"); got != tt.pool {
 				t.Errorf("pool %q, want %q", got, tt.pool)
 			}
 			pool, back := SplitPool(s.Pool("unit/s/m"))
 			if diff := cmp.Diff([]any{"unit/s/m", s.names}, []any{pool, back.names}); diff != "" {
-				t.Errorf("read back (-want +got):\n%s", diff)
+				t.Errorf("SplitPool (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestUnknownRegion checks that an endpoint whose region nobody knows serves only requests that may go anywhere.
+// TestUnknownRegion guards against sending a restricted request to an endpoint whose region is unknown.
 func TestUnknownRegion(t *testing.T) {
 	some, err := Of([]string{"a"}, nil)
 	if err != nil {
