--- a/internal/traffic/dispatcher.go
+++ b/internal/traffic/dispatcher.go
@@ -16,66 +16,69 @@
 	"olivetiller/core/view"
 )
 
-// Hooks are how the dispatcher tells the control side of what cannot wait.
+// Hooks are the callbacks by which the dispatcher notifies the control side without waiting for its next poll. They
+// are called without the dispatcher's mutex held.
 type Hooks struct {
-	// Waiting is called when a request begins to wait where none did.
+	// Waiting is called when a request enters an empty queue.
 	Waiting func()
-	// Rare is called when the work of this node for a pool with few endpoints begins or
-	// ends; nil where nobody wants to know.
+	// Rare is called when this node's running requests for a scarce pool (at most maxScarceEndpoints endpoints) go
+	// from none to one or back to none. It may be nil.
 	Rare func()
-	// Leaving is called when an endpoint says that it takes no new work.
+	// Leaving is called with the name of an endpoint whose answer said that it is draining.
 	Leaving func(endpoint string)
-	// Missing is called when an engine says that it does not hold what the pool
-	// is for; nil where nobody wants to know.
+	// Missing is called when an engine answers that it does not hold the model of the pool. It may be nil.
 	Missing func(endpoint, pool string)
-	// Charge charges a request to an endpoint that takes so many a second from all nodes together, and returns when
-	// it may be asked again; 0 where the request may be sent. Nil where no endpoint names a limit.
+	// Charge charges one request to an endpoint whose rate limit, in requests a second over all nodes, is limit. It
+	// returns 0 when the request may be sent, or else the time until the limit has capacity again. If it is nil, rate
+	// limits of endpoints are not enforced.
 	Charge func(ctx context.Context, e view.Endpoint, limit float64) time.Duration
-	// Heard is called when an answer has changed what is believed of its endpoint; nil where nobody wants to know.
+	// Heard is called when the answer to a request of this node changed the recorded signals of its endpoint. It may
+	// be nil.
 	Heard func()
 }
 
-// Dispatcher holds the pools and gates. It is safe for concurrent use.
+// Dispatcher assigns requests to endpoints. It is safe for concurrent use.
 type Dispatcher struct {
 	clock  clockwork.Clock
 	hall   string
 	limits queue.Limits
 	hooks  Hooks
 
-	mu    sync.Mutex
-	view  *view.View
-	pools map[string]*pool
-	gates map[string]*gate
-	// budgets holds the retry budgets that several pools share.
+	// mu guards the fields below, the pools and the endpoint states.
+	mu             sync.Mutex
+	view           *view.View
+	pools          map[string]*pool
+	endpointStates map[string]*endpointState
+	// budgets holds the retry budgets by name; several pools may share one.
 	budgets map[string]*retry.Budget
-	// retries is what the retry budgets allow.
+	// retries are the limits of every retry budget of this node.
 	retries retry.Limits
-	// book keeps what the endpoints say of themselves.
-	book *signal.Book
-	// heldByLimit is as in Totals.
+	// signals holds the last signals of each endpoint: rate limit, draining, backoff.
+	signals *signal.Book
+	// heldByLimit is Totals.HeldByLimit.
 	heldByLimit int64
-	// withheld is as in Totals.
+	// withheld is Totals.Withheld.
 	withheld map[string]int64
-	// evacuated holds the data halls whose endpoints get no requests.
+	// evacuated is the set of data halls whose endpoints get no requests.
 	evacuated map[string]bool
-	// regions holds the region of each data hall.
+	// regions maps each data hall to its region.
 	regions map[string]string
-	// stopped is closed when nobody may wait any longer.
+	// stopped is closed by StopWaiting.
 	stopped chan struct{}
 }
 
-// New returns a dispatcher for a node in a data hall.
+// New returns a dispatcher for a node in the given data hall. The limits apply to each pool's queue.
 func New(clock clockwork.Clock, hall string, limits queue.Limits, hooks Hooks) *Dispatcher {
 	return &Dispatcher{
 		clock: clock, hall: hall, limits: limits, hooks: hooks,
-		view: &view.View{}, pools: make(map[string]*pool), gates: make(map[string]*gate),
+		view: &view.View{}, pools: make(map[string]*pool), endpointStates: make(map[string]*endpointState),
 		budgets: make(map[string]*retry.Budget), retries: retry.DefaultLimits,
-		book: signal.NewBook(), withheld: make(map[string]int64),
+		signals: signal.NewBook(), withheld: make(map[string]int64),
 		stopped: make(chan struct{}),
 	}
 }
 
-// LimitRetries sets what the retry budgets allow, those in use included.
+// LimitRetries sets the limits of all retry budgets, existing ones included.
 func (d *Dispatcher) LimitRetries(l retry.Limits) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,7 +88,7 @@
 	}
 }
 
-// budget returns the retry budget for a request of a pool.
+// budget returns the named retry budget, or that of the pool if name is empty, and creates it on first use.
 func (d *Dispatcher) budget(p *pool, name string) *retry.Budget {
 	if name == "" {
 		name = p.name
@@ -98,26 +101,27 @@
 	return b
 }
 
-// Acquire waits for a place at an endpoint of the named pool, until the ask's
-// deadline or the context's end.
-func (d *Dispatcher) Acquire(ctx context.Context, name string, a Ask) (*Slot, error) {
+// Acquire waits for a slot at an endpoint of the named pool, at most until the request's deadline, the time at which
+// its caller gives up, or the end of ctx. The error is a *refusal.Error.
+func (d *Dispatcher) Acquire(ctx context.Context, name string, req SlotRequest) (*Slot, error) {
 	start := d.clock.Now()
 	d.mu.Lock()
 	p := d.pool(name)
-	b := d.budget(p, a.Budget)
-	if err := p.admit(a, b, start); err != nil {
+	b := d.budget(p, req.Budget)
+	if err := p.admit(req, b, start); err != nil {
 		d.mu.Unlock()
 		return nil, err
 	}
-	s, err := d.charged(ctx, p, a, start)
-	if a.Retry && !a.Again {
-		d.settleRetry(b, err == nil)
+	s, err := d.acquireCharged(ctx, p, req, start)
+	if req.Retry && !req.Resend {
+		d.finishRetry(b, err == nil)
 	}
 	return s, err
 }
 
-// settleRetry counts a retry that was held: as of now if it is sent, else not at all.
-func (d *Dispatcher) settleRetry(b *retry.Budget, sent bool) {
+// finishRetry settles the retry that admit reserved in the budget: it counts from now on if it is sent, and not at
+// all otherwise.
+func (d *Dispatcher) finishRetry(b *retry.Budget, sent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if sent {
@@ -127,158 +131,161 @@
 	b.Drop()
 }
 
-// admitted waits from now on for a place of a request that came at start. It is called with the lock, and gives it
-// back.
-func (d *Dispatcher) admitted(ctx context.Context, p *pool, a Ask, start, now time.Time) (*Slot, error) {
+// acquireAdmitted returns a slot for an admitted request that arrived at start, at once if an endpoint is free and
+// nobody is queued, or after a wait in the queue. The caller holds d.mu; acquireAdmitted unlocks it.
+func (d *Dispatcher) acquireAdmitted(ctx context.Context, p *pool, req SlotRequest, start, now time.Time) (*Slot, error) {
 	cold := len(p.endpoints) == 0
 	if p.queue.Len() == 0 {
-		if pl, ok := p.pick(now, d.hall, &a); ok {
-			p.occupy(pl, &a)
-			rare := p.rare() && p.running == 1
+		if cand, ok := p.pick(now, d.hall, &req); ok {
+			p.addRunning(cand, &req)
+			scarce := p.scarce() && p.running == 1
 			d.mu.Unlock()
-			d.noteRare(rare)
-			return d.slot(p, pl, &a, start, now, cold), nil
+			d.notifyScarce(scarce)
+			return d.slot(p, cand, &req, start, now, cold), nil
 		}
 	}
-	if err := p.hopeless(&a, p.ahead(a.urgent(start), now), now); err != nil {
-		p.sentAway++
+	if err := p.checkDeadline(&req, p.requestsAhead(req.queueDeadline(start), now), now); err != nil {
+		p.retryHints++
 		d.mu.Unlock()
 		return nil, err
 	}
-	w := &waiter{ask: a, ended: make(chan verdict, 1)}
-	w.item = &queue.Item{Caller: a.Caller, Deadline: a.urgent(start), Cost: a.Cost, Bytes: a.Bytes, Value: w}
+	w := &waiter{request: req, ended: make(chan waitResult, 1)}
+	w.item = &queue.Item{Caller: req.Caller, Deadline: req.queueDeadline(start), Cost: req.Cost, Bytes: req.Bytes, Value: w}
 	if !p.queue.Push(w.item) {
 		n := p.queue.Len()
 		d.mu.Unlock()
-		return nil, refusal.New(refusal.QueueFull, "%d requests wait for %s", n, p.name)
+		return nil, refusal.New(refusal.QueueFull, "%d requests are already queued for %s", n, p.name)
 	}
 	if cold {
-		w.expected = p.readyAt
+		w.forecastReady = p.readyAt
 		if p.coldSince.IsZero() {
 			p.coldSince = start
 		}
 	}
-	d.openLater(p, now)
+	d.schedulePump(p, now)
 	first := p.queue.Len() == 1
 	d.mu.Unlock()
 	if first {
-		// The home should hear of the demand before the request waits long.
+		// The node that decides where models are loaded should learn of the demand before the request has waited
+		// long.
 		d.hooks.Waiting()
 	}
 	return d.wait(ctx, p, w, start, now, cold)
 }
 
-func (d *Dispatcher) slot(p *pool, pl place, a *Ask, start, now time.Time, cold bool) *Slot {
+// slot returns the Slot for a request at a candidate. The request arrived at start and got the slot at now.
+func (d *Dispatcher) slot(p *pool, cand candidate, req *SlotRequest, start, now time.Time, cold bool) *Slot {
 	return &Slot{
-		Endpoint: pl.Endpoint, Waited: now.Sub(start), Cold: cold,
-		Others: pl.others, dispatcher: d, pool: p, gate: pl.gate, at: now, prompt: a.Prompt, suspect: a.suspect(), limit: pl.limit,
+		Endpoint: cand.Endpoint, Waited: now.Sub(start), Cold: cold,
+		OtherEndpoints: cand.otherEndpoints, dispatcher: d, pool: p, endpointState: cand.endpointState, grantedAt: now, prompt: req.Prompt, mayCrashEngine: req.mayCrashEngine(), limit: cand.limit,
 	}
 }
 
-// Switch gives a request that has a slot another one at another endpoint, if one has
-// room now, nobody waits for it, and the retry budget allows the attempt. The slot that
-// the request has stays its own until it is released.
-func (d *Dispatcher) Switch(s *Slot, a Ask) (*Slot, bool) {
-	if a.suspect() {
-		// The silence may be the end of the engine.
+// Switch acquires a second slot at another endpoint for a request that already holds s. It succeeds only if another
+// endpoint is free now, no request is queued, and the retry budget allows the attempt. The request keeps s until it
+// is released.
+func (d *Dispatcher) Switch(s *Slot, req SlotRequest) (*Slot, bool) {
+	if req.mayCrashEngine() {
+		// The endpoint may be silent because this request terminated its engine.
 		return nil, false
 	}
 	now := d.clock.Now()
-	a.Avoid = append(slices.Clip(a.Avoid), s.Endpoint.Name)
-	// To charge the request to an endpoint may take a while, in which the attempt in progress may end.
-	a.Unlimited = true
+	req.Avoid = append(slices.Clip(req.Avoid), s.Endpoint.Name)
+	// Charging a limited endpoint may take a while, and the attempt in progress may end meanwhile.
+	req.SkipLimited = true
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p := s.pool
 	if p.queue.Len() > 0 {
 		return nil, false
 	}
-	pl, ok := p.pick(now, d.hall, &a)
-	if !ok || slices.Contains(a.Avoid, pl.Name) || !d.budget(p, a.Budget).Spend(now) {
+	cand, ok := p.pick(now, d.hall, &req)
+	if !ok || slices.Contains(req.Avoid, cand.Name) || !d.budget(p, req.Budget).Spend(now) {
 		return nil, false
 	}
-	p.occupy(pl, &a)
-	return d.slot(p, pl, &a, now, now, false), true
+	p.addRunning(cand, &req)
+	return d.slot(p, cand, &req, now, now, false), true
 }
 
-// rareEndpoints is how many endpoints a pool has at most for its work to be told at once:
-// which of its replicas are in use decides what makes way for other models.
-const rareEndpoints = 2
+// maxScarceEndpoints is the largest number of endpoints of a scarce pool. The start and end of a scarce pool's work
+// are reported at once, because which of its replicas are busy decides which model is unloaded to make room.
+const maxScarceEndpoints = 2
 
-// rare reports whether the pool has few endpoints.
-func (p *pool) rare() bool { return len(p.endpoints) <= rareEndpoints }
+// scarce reports whether the pool has at most maxScarceEndpoints endpoints.
+func (p *pool) scarce() bool { return len(p.endpoints) <= maxScarceEndpoints }
 
-// noteRare tells the control side that the work of a pool with few endpoints began or
-// ended. Where reports are a second apart, 21 in 100 unloads were ordered of models that
-// had requests by then; the engine finished these first, 1.5 s or more, and refused its next
-// order meanwhile (124 engines, 195 nodes).
-func (d *Dispatcher) noteRare(changed bool) {
+// notifyScarce calls Hooks.Rare if the work of a scarce pool began or ended. With periodic reports alone, a second
+// apart, 21 of 100 unloads hit models that had requests by then; the engine finished those first, for 1.5 s or more,
+// and refused its next order meanwhile (124 engines, 195 nodes).
+func (d *Dispatcher) notifyScarce(changed bool) {
 	if changed && d.hooks.Rare != nil {
 		d.hooks.Rare()
 	}
 }
 
-// began counts a prompt as read.
-func (d *Dispatcher) began(s *Slot) {
+// promptRead records that the endpoint has read the prompt of the slot's request.
+func (d *Dispatcher) promptRead(s *Slot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s.gate.prompts -= s.prompt
+	s.endpointState.prompts -= s.prompt
 	s.prompt = 0
 }
 
-// occupy counts a request in.
-func (p *pool) occupy(pl place, a *Ask) {
-	pl.gate.running++
-	pl.gate.asking = pl.limit > 0
-	pl.gate.prompts += a.Prompt
-	if a.suspect() {
-		pl.gate.suspects++
+// addRunning counts a request as running at a candidate.
+func (p *pool) addRunning(cand candidate, req *SlotRequest) {
+	cand.endpointState.running++
+	cand.endpointState.charging = cand.limit > 0
+	cand.endpointState.prompts += req.Prompt
+	if req.mayCrashEngine() {
+		cand.endpointState.suspectRequests++
 	}
 	p.running++
-	p.runningAt[pl.Name]++
+	p.runningAt[cand.Name]++
 }
 
-// release takes a result in and pumps the pools that share the endpoint.
+// release records the result of a slot, calls the hooks that it triggers, and serves the queues that share the
+// endpoint.
 func (d *Dispatcher) release(s *Slot, r Result) {
 	if r.Leaving {
 		d.hooks.Leaving(s.Endpoint.Name)
 	}
 	if r.Missing && d.hooks.Missing != nil {
-		d.hooks.Missing(s.Endpoint.Name, s.pool.base)
+		d.hooks.Missing(s.Endpoint.Name, s.pool.basePool)
 	}
-	d.noteRare(d.settle(s, r))
+	d.notifyScarce(d.recordResult(s, r))
 }
 
-// settle takes a result in, and reports whether the work of a pool with few endpoints
-// ended.
-func (d *Dispatcher) settle(s *Slot, r Result) (rareEnded bool) {
+// recordResult updates the pool and the endpoint state with the result of a slot and serves the queues that share the
+// endpoint. It reports whether that ended the work of a scarce pool.
+func (d *Dispatcher) recordResult(s *Slot, r Result) (scarceEnded bool) {
 	now := d.clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s.uncount()
-	s.gate.settle(r, now)
-	rareEnded = s.pool.rare() && s.pool.running == 0
+	s.removeRunning()
+	s.endpointState.recordResult(r, now)
+	scarceEnded = s.pool.scarce() && s.pool.running == 0
 	if r.Missing {
-		s.pool.remove(s.gate)
+		s.pool.remove(s.endpointState)
 	}
-	if r.Err == nil && !r.Full && !r.NotBegun {
-		s.pool.model.Serve.Observe(now.Sub(s.at))
+	if r.Err == nil && !r.Full && !r.NotStarted {
+		s.pool.model.Serve.Observe(now.Sub(s.grantedAt))
 	}
 	if r.Leaving {
-		for p := range s.gate.pools {
-			p.remove(s.gate)
+		for p := range s.endpointState.pools {
+			p.remove(s.endpointState)
 		}
 	}
-	d.pumpGate(s.gate, now)
-	return rareEnded
+	d.pumpEndpoint(s.endpointState, now)
+	return scarceEnded
 }
 
-// uncount counts the slot's request out, but for what the gate settles.
-func (s *Slot) uncount() {
-	s.gate.prompts -= s.prompt
+// removeRunning undoes addRunning, except for the endpoint's running count, which endpointState.recordResult
+// decrements.
+func (s *Slot) removeRunning() {
+	s.endpointState.prompts -= s.prompt
 	s.prompt = 0
-	if s.suspect {
-		s.gate.suspects--
+	if s.mayCrashEngine {
+		s.endpointState.suspectRequests--
 	}
 	s.pool.running--
 	if s.pool.runningAt[s.Endpoint.Name]--; s.pool.runningAt[s.Endpoint.Name] <= 0 {
@@ -286,12 +293,12 @@
 	}
 }
 
-// pumpGate lets requests of the pools that share a gate in, the pool with the
-// most urgent head first.
-func (d *Dispatcher) pumpGate(g *gate, now time.Time) {
+// pumpEndpoint grants slots to queued requests of the pools that share an endpoint, the pool whose next request has
+// the earliest deadline first, until the next request finds no slot.
+func (d *Dispatcher) pumpEndpoint(ep *endpointState, now time.Time) {
 	for {
 		var next *pool
-		for p := range g.pools {
+		for p := range ep.pools {
 			head := p.queue.Peek()
 			if head == nil {
 				continue
@@ -309,65 +316,67 @@
 	}
 }
 
-// pump lets a pool's requests in while there is room.
+// pump grants slots to a pool's queued requests until none is queued or no endpoint has room.
 func (d *Dispatcher) pump(p *pool, now time.Time) {
 	for p.queue.Len() > 0 && d.grantNext(p, now) {
 		continue
 	}
 }
 
-// grantNext lets the next request of a pool in; it reports false when no place
-// has room.
+// grantNext grants a slot to the next request in a pool's queue, which must not be empty. It returns false if no
+// endpoint has room, after scheduling a pump for when one becomes available.
 func (d *Dispatcher) grantNext(p *pool, now time.Time) bool {
 	w := p.queue.Peek().Value.(*waiter)
-	pl, ok := p.pick(now, d.hall, &w.ask)
+	cand, ok := p.pick(now, d.hall, &w.request)
 	if !ok {
-		d.openLater(p, now)
+		d.schedulePump(p, now)
 		return false
 	}
 	p.queue.Pop()
-	p.occupy(pl, &w.ask)
-	w.ended <- verdict{place: pl, expected: w.expected}
+	p.addRunning(cand, &w.request)
+	w.ended <- waitResult{candidate: cand, forecastReady: w.forecastReady}
 	return true
 }
 
-// openLater arranges a pump for the moment a closed gate of the pool opens.
-func (d *Dispatcher) openLater(p *pool, now time.Time) {
-	for _, pl := range p.endpoints {
-		g := pl.gate
-		at := g.window.OpensAt()
-		if until := g.health.Until(); until.After(at) {
+// schedulePump sets a timer for each endpoint of the pool that is unavailable until a known time (window closed,
+// ejected, rate limit used up or backoff), to serve the queues at that time.
+func (d *Dispatcher) schedulePump(p *pool, now time.Time) {
+	for _, cand := range p.endpoints {
+		ep := cand.endpointState
+		at := ep.window.OpensAt()
+		if until := ep.health.Until(); until.After(at) {
 			at = until
 		}
-		if shut := g.shutUntil(); shut.After(at) {
+		if shut := ep.unavailableUntil(); shut.After(at) {
 			at = shut
 		}
-		if g.timer || !at.After(now) {
+		if ep.pumpScheduled || !at.After(now) {
 			continue
 		}
-		g.timer = true
+		ep.pumpScheduled = true
 		d.clock.AfterFunc(at.Sub(now), func() {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			g.timer = false
-			d.pumpGate(g, d.clock.Now())
+			ep.pumpScheduled = false
+			d.pumpEndpoint(ep, d.clock.Now())
 		})
 	}
 }
 
+// pool returns the named pool and creates it on first use. A name may restrict the pool to regions; see
+// region.SplitPool.
 func (d *Dispatcher) pool(name string) *pool {
 	p := d.pools[name]
 	if p == nil {
 		p = &pool{name: name, queue: queue.New(d.limits), runningAt: make(map[string]int)}
-		p.base, p.regions = region.SplitPool(name)
+		p.basePool, p.regions = region.SplitPool(name)
 		d.pools[name] = p
-		p.update(d.view, d.places(d.view, p), d.clock.Now())
+		p.update(d.view, d.candidates(d.view, p), d.clock.Now())
 	}
 	return p
 }
 
-// Update puts a new view in force, in which the named pools changed; nil means
-// all.
+// Update installs a new view. changed names the pools whose endpoints differ from the last view; nil means all.
 func (d *Dispatcher) Update(v *view.View, changed []string) {
 	now := d.clock.Now()
 	d.mu.Lock()
@@ -379,64 +388,67 @@
 		}
 	}
 	if len(changed) > 0 {
-		d.updateParts(changed, now)
+		d.updateNamed(changed, now)
 	}
 	for _, p := range d.pools {
-		p.loadingSince = v.LoadingSince[p.base]
-		p.readyAt = v.ReadyAt[p.base]
-		p.forecast()
-		p.refuseHopeless(now)
-	}
-	for name, g := range d.gates {
-		if len(g.pools) == 0 && g.running == 0 {
-			delete(d.gates, name)
+		p.loadingSince = v.LoadingSince[p.basePool]
+		p.readyAt = v.ReadyAt[p.basePool]
+		p.recordForecast()
+		p.refuseUnservable(now)
+	}
+	for name, ep := range d.endpointStates {
+		if len(ep.pools) == 0 && ep.running == 0 {
+			delete(d.endpointStates, name)
 		}
 	}
 }
 
-// updateParts updates the named pools, and those that are parts of them.
-func (d *Dispatcher) updateParts(changed []string, now time.Time) {
+// updateNamed updates the named pools and the regional pools derived from them.
+func (d *Dispatcher) updateNamed(changed []string, now time.Time) {
 	named := make(map[string]bool, len(changed))
 	for _, name := range changed {
 		named[name] = true
 	}
 	for name, p := range d.pools {
-		if named[p.base] {
+		if named[p.basePool] {
 			d.updatePool(name, now)
 		}
 	}
 }
 
-// SetRegions sets the region of each data hall; it is called before the first request.
+// SetRegions sets the region of each data hall. It must be called before the first request.
 func (d *Dispatcher) SetRegions(regions map[string]string) { d.regions = regions }
 
+// updatePool rebuilds the candidates of an existing pool from the current view and serves its queue.
 func (d *Dispatcher) updatePool(name string, now time.Time) {
 	p := d.pools[name]
 	if p == nil {
 		return
 	}
-	p.update(d.view, d.places(d.view, p), now)
+	p.update(d.view, d.candidates(d.view, p), now)
 	d.pump(p, now)
 }
 
-// places joins the endpoints of a pool with their gates.
-func (d *Dispatcher) places(v *view.View, p *pool) []place {
-	eps, now := v.Pool(p.base), d.clock.Now()
-	out := make([]place, 0, len(eps))
+// candidates returns the endpoints of the view that the pool may use, with their states. It leaves out endpoints that
+// are draining, were superseded by a later incarnation, or are in an evacuated data hall or a region that is not
+// allowed.
+func (d *Dispatcher) candidates(v *view.View, p *pool) []candidate {
+	eps, now := v.Pool(p.basePool), d.clock.Now()
+	out := make([]candidate, 0, len(eps))
 	for _, e := range eps {
-		if d.out(lifeOf(&e)) || d.evacuated[e.Hall] || !p.regions.Allows(d.regions[e.Hall]) {
+		if d.excluded(incarnationOf(&e)) || d.evacuated[e.Hall] || !p.regions.Allows(d.regions[e.Hall]) {
 			continue
 		}
-		g := d.gates[e.Name]
-		if g == nil || g.incarnation != e.Incarnation {
+		ep := d.endpointStates[e.Name]
+		if ep == nil || ep.incarnation != e.Incarnation {
 			share := e.Concurrency / max(1, len(v.Live))
-			g = newGate(e, share)
-			g.rest = d.book.Rest(g.life)
-			d.gates[e.Name] = g
+			ep = newEndpointState(e, share)
+			ep.backoffUntil = d.signals.Rest(ep.incarnationID)
+			d.endpointStates[e.Name] = ep
 		}
-		g.hall, g.coldUntil, g.coldRate = e.Hall, e.ColdUntil, e.ColdRate
-		g.setLimit(d.limitOf(g, now))
-		out = append(out, place{Endpoint: e, gate: g})
+		ep.hall, ep.coldUntil, ep.coldRate = e.Hall, e.ColdUntil, e.ColdRate
+		ep.setRateLimit(d.limitOf(ep, now))
+		out = append(out, candidate{Endpoint: e, endpointState: ep})
 	}
 	return out
 }
--- a/internal/traffic/dispatcher_test.go
+++ b/internal/traffic/dispatcher_test.go
@@ -21,47 +21,45 @@
 	return New(clock, "h", queue.Limits{Items: 10, Bytes: 1000}, Hooks{Waiting: func() {}, Leaving: func(string) {}})
 }
 
-// acquire asks for a place on a goroutine of its own.
-func acquire(d *Dispatcher, pool string, a Ask) <-chan error {
+// acquire calls Acquire on another goroutine and returns a channel with its error.
+func acquire(d *Dispatcher, pool string, req SlotRequest) <-chan error {
 	done := make(chan error, 1)
 	go func() {
-		_, err := d.Acquire(context.Background(), pool, a)
+		_, err := d.Acquire(context.Background(), pool, req)
 		done <- err
 	}()
 	return done
 }
 
-// kindOf is the kind of a refusal and when to come back.
-type kindOf struct {
+// refusalSummary is the kind of a refusal and its retry hint.
+type refusalSummary struct {
 	Kind  refusal.Kind
 	After time.Duration
 }
 
-func kind(err error) kindOf {
+func summaryOf(err error) refusalSummary {
 	var e *refusal.Error
 	if !errors.As(err, &e) {
-		return kindOf{}
+		return refusalSummary{}
 	}
-	return kindOf{e.Kind, e.Hint()}
+	return refusalSummary{e.Kind, e.Hint()}
 }
 
-// TestStopWaiting checks that a request that waits for a cold model when the
-// process is about to end is told that it has not run, instead of being cut off.
-// Found by the own day roll_term: LOST at 14.708 s, a label-batch request that
-// waited through the whole grace of a SIGTERM.
+// TestStopWaiting guards against a request that waits for a cold model while the process shuts down, and is cut off
+// at the end of the grace period. It must be refused at the start of the shutdown, as not run.
 func TestStopWaiting(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	d := newDispatcher(clock)
-	done := acquire(d, "unit/s/m", Ask{Deadline: clock.Now().Add(time.Minute)})
+	done := acquire(d, "unit/s/m", SlotRequest{Deadline: clock.Now().Add(time.Minute)})
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
 	d.StopWaiting()
-	if diff := cmp.Diff(kindOf{refusal.Stopping, 100 * time.Millisecond}, kind(<-done)); diff != "" {
+	if diff := cmp.Diff(refusalSummary{refusal.Stopping, 100 * time.Millisecond}, summaryOf(<-done)); diff != "" {
 		t.Errorf("waiting request (-want +got):\n%s", diff)
 	}
-	late := acquire(d, "unit/s/m", Ask{Deadline: clock.Now().Add(time.Minute)})
-	if diff := cmp.Diff(kindOf{refusal.Stopping, 100 * time.Millisecond}, kind(<-late)); diff != "" {
+	late := acquire(d, "unit/s/m", SlotRequest{Deadline: clock.Now().Add(time.Minute)})
+	if diff := cmp.Diff(refusalSummary{refusal.Stopping, 100 * time.Millisecond}, summaryOf(<-late)); diff != "" {
 		t.Errorf("request after the stop (-want +got):\n%s", diff)
 	}
 	if !refusal.As(refusal.New(refusal.Stopping, "")).NotRun() {
@@ -69,20 +67,19 @@
 	}
 }
 
-// TestHopeless checks which requests are refused before their time is up: those whose
-// model is expected when their callers will have left, at once if that is known, else as
-// soon as the forecast tells.
-func TestHopeless(t *testing.T) {
+// TestUnservableRequestIsRefused checks that a request whose model will be ready only after its caller gives up is
+// refused as soon as that is predicted, at its arrival or later, and that other requests wait on.
+func TestUnservableRequestIsRefused(t *testing.T) {
 	const third = 25 * time.Second / 3
 	tests := []struct {
 		name    string
 		readyIn time.Duration
-		want    kindOf
+		want    refusalSummary
 	}{
-		{"late, but served", 9 * time.Second, kindOf{}},
-		{"after the caller has left", 11 * time.Second, kindOf{refusal.CannotMakeDeadline, third}},
-		{"after the deadline", 30 * time.Second, kindOf{refusal.CannotMakeDeadline, third}},
-		{"not known", 0, kindOf{}},
+		{"late, but served", 9 * time.Second, refusalSummary{}},
+		{"after the caller has left", 11 * time.Second, refusalSummary{refusal.CannotMakeDeadline, third}},
+		{"after the deadline", 30 * time.Second, refusalSummary{refusal.CannotMakeDeadline, third}},
+		{"not known", 0, refusalSummary{}},
 	}
 	for _, tt := range tests {
 		for _, known := range []bool{true, false} {
@@ -96,45 +93,44 @@
 				if known {
 					d.Update(forecast, nil)
 				}
-				done := acquire(d, "unit/s/m", Ask{Deadline: clock.Now().Add(25 * time.Second), Leaves: clock.Now().Add(10 * time.Second)})
-				if !known || tt.want == (kindOf{}) {
+				done := acquire(d, "unit/s/m", SlotRequest{Deadline: clock.Now().Add(25 * time.Second), AbandonAt: clock.Now().Add(10 * time.Second)})
+				if !known || tt.want == (refusalSummary{}) {
 					if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 						t.Fatal(err)
 					}
 				}
 				d.Update(forecast, nil)
-				if tt.want == (kindOf{}) {
-					// It waits on, until an endpoint appears.
+				if tt.want == (refusalSummary{}) {
+					// The request must wait on until an endpoint appears.
 					d.Update(&view.View{Endpoints: map[string][]view.Endpoint{"unit/s/m": {{Name: "e", Concurrency: 1}}}}, nil)
 				}
-				if diff := cmp.Diff(tt.want, kind(<-done)); diff != "" {
+				if diff := cmp.Diff(tt.want, summaryOf(<-done)); diff != "" {
 					t.Errorf("refusal (-want +got):\n%s", diff)
 				}
-				if u := d.Usage(); tt.want != (kindOf{}) && (len(u) != 1 || u[0].SentAway != 1) {
-					t.Errorf("Usage = %v, want one caller told to come back", u)
+				if u := d.Usage(); tt.want != (refusalSummary{}) && (len(u) != 1 || u[0].SentAway != 1) {
+					t.Errorf("Usage = %v, want one refusal with a retry hint", u)
 				}
 			})
 		}
 	}
 }
 
-// TestLeaves checks that a waiting request is refused when its caller would leave:
-// found by scpw-router trouble-1, where 13 ballot proofs of 258 waited until their
-// callers had left after 10 s, of 25 s allowed.
-func TestLeaves(t *testing.T) {
+// TestWaitEndsWhenCallerGivesUp guards against requests that wait until their deadline although their callers give up
+// earlier: 13 of 258 requests once waited until their callers had left after 10 s, of 25 s allowed.
+func TestWaitEndsWhenCallerGivesUp(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	d := newDispatcher(clock)
-	done := acquire(d, "unit/s/m", Ask{Deadline: clock.Now().Add(25 * time.Second), Leaves: clock.Now().Add(10 * time.Second)})
+	done := acquire(d, "unit/s/m", SlotRequest{Deadline: clock.Now().Add(25 * time.Second), AbandonAt: clock.Now().Add(10 * time.Second)})
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
 	clock.Advance(10 * time.Second)
-	if got := kind(<-done).Kind; got != refusal.WaitedTooLong {
+	if got := summaryOf(<-done).Kind; got != refusal.WaitedTooLong {
 		t.Errorf("kind %q, want %q", got, refusal.WaitedTooLong)
 	}
 }
 
-// TestSharedBudget checks that pools of one service draw on one retry budget.
+// TestSharedBudget checks that pools with the same budget name share one retry budget.
 func TestSharedBudget(t *testing.T) {
 	d := newDispatcher(clockwork.NewFakeClock())
 	d.LimitRetries(retry.Limits{Reserve: 2})
@@ -143,27 +139,26 @@
 	}}, nil)
 	var got []refusal.Kind
 	for _, pool := range []string{"a", "b", "a"} {
-		_, err := d.Acquire(context.Background(), pool, Ask{Deadline: d.clock.Now().Add(time.Second), Retry: true, Budget: "s"})
-		got = append(got, kind(err).Kind)
+		_, err := d.Acquire(context.Background(), pool, SlotRequest{Deadline: d.clock.Now().Add(time.Second), Retry: true, Budget: "s"})
+		got = append(got, summaryOf(err).Kind)
 	}
 	if diff := cmp.Diff([]refusal.Kind{"", "", refusal.NoEndpoint}, got); diff != "" {
 		t.Errorf("refusals (-want +got):\n%s", diff)
 	}
 }
 
-// TestBudgetFollowsNodes checks that budgets in use shrink when more nodes turn out
-// to share the platform's bound. Found by reading: a budget made while the node
-// assumed eight kept an eighth of the bound on a site of 69.
+// TestBudgetFollowsNodes checks that existing budgets shrink when more nodes turn out to share the platform-wide
+// limit. A budget created while the node assumed 8 nodes otherwise keeps an eighth of the limit at a site of 69.
 func TestBudgetFollowsNodes(t *testing.T) {
 	d := newDispatcher(clockwork.NewFakeClock())
 	d.Update(&view.View{Endpoints: map[string][]view.Endpoint{"a": {{Name: "e", Concurrency: 9}}}}, nil)
 	retryOnce := func() refusal.Kind {
-		_, err := d.Acquire(context.Background(), "a", Ask{Deadline: d.clock.Now().Add(time.Second), Retry: true, Budget: "s"})
-		return kind(err).Kind
+		_, err := d.Acquire(context.Background(), "a", SlotRequest{Deadline: d.clock.Now().Add(time.Second), Retry: true, Budget: "s"})
+		return summaryOf(err).Kind
 	}
 	d.LimitRetries(retry.Limits{Reserve: 6, Window: time.Minute})
 	got := []refusal.Kind{retryOnce()}
-	// The one that was made counts.
+	// The retry already made counts towards the new limit.
 	d.LimitRetries(retry.Limits{Reserve: 2, Window: time.Minute})
 	got = append(got, retryOnce(), retryOnce())
 	if diff := cmp.Diff([]refusal.Kind{"", "", refusal.NoEndpoint}, got); diff != "" {
@@ -171,15 +166,15 @@
 	}
 }
 
-// TestRetryThatWaitedCounts checks that a retry counts from when it is sent, and not at all if it
-// never is.
+// TestRetryThatWaitedCounts checks that a retry counts from the time at which it gets a slot, and not at all if it
+// gets none.
 func TestRetryThatWaitedCounts(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	d := newDispatcher(clock)
 	d.LimitRetries(retry.Limits{Reserve: 1, Window: 10 * time.Second})
-	again := Ask{Deadline: clock.Now().Add(time.Hour), Retry: true, Budget: "s"}
-	waits := func(a Ask) <-chan error {
-		done := acquire(d, "a", a)
+	again := SlotRequest{Deadline: clock.Now().Add(time.Hour), Retry: true, Budget: "s"}
+	waits := func(req SlotRequest) <-chan error {
+		done := acquire(d, "a", req)
 		for d.Totals().Waiting == 0 && len(done) == 0 {
 			runtime.Gosched()
 		}
@@ -192,22 +187,21 @@
 		t.Fatal(err)
 	}
 	clock.Advance(time.Second)
-	got := []refusal.Kind{kind(<-done).Kind}
+	got := []refusal.Kind{summaryOf(<-done).Kind}
 	done = waits(again)
 	clock.Advance(8 * time.Second)
 	d.Update(&view.View{Endpoints: map[string][]view.Endpoint{"a": {{Name: "e", Concurrency: 9}}}}, nil)
-	got = append(got, kind(<-done).Kind)
+	got = append(got, summaryOf(<-done).Kind)
 	clock.Advance(9 * time.Second)
-	got = append(got, kind(<-acquire(d, "a", again)).Kind)
+	got = append(got, summaryOf(<-acquire(d, "a", again)).Kind)
 	clock.Advance(2 * time.Second)
-	got = append(got, kind(<-acquire(d, "a", again)).Kind)
+	got = append(got, summaryOf(<-acquire(d, "a", again)).Kind)
 	if diff := cmp.Diff([]refusal.Kind{refusal.WaitedTooLong, "", refusal.NoEndpoint, ""}, got); diff != "" {
-		t.Errorf("refusals: never sent, sent after 8 s, 9 s after that, 11 s after it (-want +got):\n%s", diff)
+		t.Errorf("refusals of a retry that gets no slot, one that gets a slot after 8 s, and those 9 s and 11 s after that (-want +got):\n%s", diff)
 	}
 }
 
-// TestSwitch checks when a request is taken by another endpoint, and that the retry
-// budget pays only then.
+// TestSwitch checks when a request gets a slot at another endpoint, and that only then the retry budget is charged.
 func TestSwitch(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -225,9 +219,9 @@
 			d := newDispatcher(clockwork.NewFakeClock())
 			d.LimitRetries(retry.Limits{Reserve: tt.reserve})
 			d.Update(&view.View{Endpoints: map[string][]view.Endpoint{"p": tt.endpoints}}, nil)
-			ask := Ask{Deadline: d.clock.Now().Add(time.Second)}
+			ask := SlotRequest{Deadline: d.clock.Now().Add(time.Second)}
 			if len(tt.endpoints) > 1 {
-				// The first request goes elsewhere than the one to be switched.
+				// Steer the first attempt away from the endpoint to switch to.
 				ask.Avoid = []string{"f"}
 			}
 			first, err := d.Acquire(context.Background(), "p", ask)
@@ -235,7 +229,7 @@
 				t.Fatal(err)
 			}
 			if len(tt.endpoints) > 1 && tt.endpoints[1].Concurrency == 0 {
-				d.gates["f"].running = 1
+				d.endpointStates["f"].running = 1
 			}
 			ask.Avoid = nil
 			got := ""
@@ -252,8 +246,8 @@
 	}
 }
 
-// TestForecastKept checks that a request keeps the first forecast of its wait, be it
-// known at its arrival or later.
+// TestForecastKept checks that a request keeps the first prediction of its wait, whether that was known at its
+// arrival or came later.
 func TestForecastKept(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprintf("known at arrival %t", known), func(t *testing.T) {
@@ -268,7 +262,7 @@
 			}
 			got := make(chan time.Time, 1)
 			go func() {
-				s, err := d.Acquire(context.Background(), "unit/s/m", Ask{Deadline: clock.Now().Add(time.Minute)})
+				s, err := d.Acquire(context.Background(), "unit/s/m", SlotRequest{Deadline: clock.Now().Add(time.Minute)})
 				if err != nil {
 					t.Error(err)
 					got <- time.Time{}
@@ -289,10 +283,10 @@
 	}
 }
 
-// TestRareWorkTold checks that the control side hears at once when the work for a pool
-// with few endpoints begins and ends, and not of each request for one with many: else a
-// model makes way by reports of a second ago while a request runs.
-func TestRareWorkTold(t *testing.T) {
+// TestScarceWorkIsReported checks that Hooks.Rare is called when the work of a pool with few endpoints begins and
+// ends, but not for one with many. Without it, a model with a running request may be unloaded on the strength of a
+// report that is a second old.
+func TestScarceWorkIsReported(t *testing.T) {
 	tests := []struct {
 		name      string
 		endpoints int
@@ -305,14 +299,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			told := 0
-			d := New(clock, "h", queue.Limits{Items: 10, Bytes: 1000}, Hooks{Waiting: func() {}, Rare: func() { told++ }, Leaving: func(string) {}})
+			calls := 0
+			d := New(clock, "h", queue.Limits{Items: 10, Bytes: 1000}, Hooks{Waiting: func() {}, Rare: func() { calls++ }, Leaving: func(string) {}})
 			v := &view.View{Endpoints: map[string][]view.Endpoint{}}
 			for i := range tt.endpoints {
 				v.Endpoints["unit/s/m"] = append(v.Endpoints["unit/s/m"], view.Endpoint{Name: fmt.Sprintf("e%d", i), Incarnation: 1, Concurrency: 8})
 			}
 			d.Update(v, nil)
-			ask := Ask{Deadline: clock.Now().Add(time.Minute)}
+			ask := SlotRequest{Deadline: clock.Now().Add(time.Minute)}
 			var slots []*Slot
 			for range 3 {
 				s, err := d.Acquire(t.Context(), "unit/s/m", ask)
@@ -324,8 +318,8 @@
 			for _, s := range slots {
 				s.Release(Result{Running: -1})
 			}
-			if told != tt.want {
-				t.Errorf("told %d times, want %d", told, tt.want)
+			if calls != tt.want {
+				t.Errorf("Hooks.Rare was called %d times, want %d", calls, tt.want)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/traffic/endpoint_state.go
@@ -0,0 +1,78 @@
+package traffic
+
+import (
+	"time"
+
+	"olivetiller/core/choose"
+	"olivetiller/core/view"
+)
+
+// endpointState is what this node knows of one endpoint. All pools that use the endpoint share it, since an engine
+// that holds several units has one capacity for all of them.
+type endpointState struct {
+	name        string
+	incarnation uint64
+	hall        string
+	// running counts this node's requests in progress at the endpoint.
+	running int
+	// prompts is the total length, in tokens, of this node's prompts that the endpoint has not read yet.
+	prompts int
+	// suspectRequests counts this node's requests at the endpoint that may terminate its engine.
+	suspectRequests int
+	// window bounds this node's concurrent requests at the endpoint.
+	window *choose.Window
+	health choose.Health
+	// reported is the load that the endpoint last reported, in running requests, and reportedAt when it did.
+	reported   int
+	reportedAt time.Time
+	// pools is the set of pools that use the endpoint.
+	pools map[*pool]bool
+	// coldUntil is when the endpoint stops being cold. Until then it takes only coldRate requests a second from all
+	// nodes together.
+	coldUntil time.Time
+	coldRate  float64
+	// pumpScheduled is set while a timer runs that serves the queues once the endpoint is available again.
+	pumpScheduled bool
+	endpointSignals
+}
+
+// newEndpointState returns the state of an endpoint without requests. share is the number of concurrent requests with
+// which this node begins.
+func newEndpointState(e view.Endpoint, share int) *endpointState {
+	return &endpointState{
+		endpointSignals: endpointSignals{incarnationID: incarnationOf(&e)}, name: e.Name, incarnation: e.Incarnation, hall: e.Hall,
+		window: choose.NewWindow(share, e.Concurrency), pools: make(map[*pool]bool),
+	}
+}
+
+// replica returns the endpoint's state at now in the form that choose.Pick takes. hall is the data hall of this node.
+func (ep *endpointState) replica(hall string, now time.Time) choose.Replica {
+	return choose.Replica{
+		Engine: ep.name, SameHall: ep.hall == hall, Running: ep.running, Prompts: ep.prompts,
+		Suspects: ep.suspectRequests, Reported: ep.reported, ReportedAt: ep.reportedAt, Window: ep.window, Health: &ep.health, Shut: ep.charging || now.Before(ep.unavailableUntil()),
+	}
+}
+
+// recordResult updates the endpoint's load, window and health with the result of one request.
+func (ep *endpointState) recordResult(r Result, now time.Time) {
+	if r.Running >= 0 {
+		ep.reported, ep.reportedAt = r.Running, now
+	}
+	switch {
+	case r.Full:
+		ep.window.Full(now)
+	case r.NotStarted:
+	case r.Ended:
+		// One of the requests that ran there may have terminated the process, and all of them fail at once, so
+		// however many fail, it counts as one failure of the endpoint.
+		ep.health.Ended(now)
+	case r.Silent:
+		ep.health.Silent(now)
+	case r.Err != nil:
+		ep.health.Failed(now)
+	default:
+		ep.window.Succeeded(ep.running)
+		ep.health.Succeeded()
+	}
+	ep.running--
+}
--- a/internal/traffic/pool.go
+++ b/internal/traffic/pool.go
@@ -16,80 +16,83 @@
 	"olivetiller/core/view"
 )
 
-// pool is the waiting and running work of one unit or service. The dispatcher's
-// lock guards it.
+// pool holds the queued and running requests of one unit or plain service, or of the part of it that is restricted to
+// some regions. The dispatcher's mutex guards it.
 type pool struct {
 	name string
-	// base is the pool of all regions that this one is a part of, which may be itself, and regions those that its requests
-	// may go to.
-	base      string
+	// basePool is the name of the unrestricted pool, which is this pool's own name if it has no regions. regions are
+	// those in which the pool's requests may be served.
+	basePool  string
 	regions   region.Set
 	queue     *queue.Queue
-	endpoints []place
-	// loadingSince is when the load in progress was first seen; zero if none.
+	endpoints []candidate
+	// loadingSince is when the load in progress was first observed; zero if none is in progress.
 	loadingSince time.Time
-	// readyAt is when the first endpoint is expected; zero if that is not known.
+	// readyAt is when the first endpoint is expected to be ready; zero if that is not known.
 	readyAt time.Time
-	model   admit.Model
-	running int
-	// runningAt counts the running requests by endpoint.
+	// model estimates how long a request waits, from observed service and load times.
+	model admit.Model
+	// running counts the running requests of this node, and runningAt the same by endpoint name.
+	running   int
 	runningAt map[string]int
-	// elsewhere is true where there are endpoints, and none of them is in a region that the pool's requests may go to.
-	elsewhere bool
-	// turn counts the picks, so that equal endpoints take turns.
-	turn     int
+	// outsideRegions is set when the unit has endpoints, but none in a region that may serve the pool's requests.
+	outsideRegions bool
+	// rotation counts the picks. It is the index at which the next pick starts, so that equal endpoints alternate.
+	rotation int
+	// arrivals counts first attempts since the last report of demand or usage.
 	arrivals int
-	// objective is the least objective among these; 0 if none tells one.
+	// objective is the smallest latency objective among the arrivals since the last call of Usage; 0 if none has one.
 	objective time.Duration
-	// sentAway counts the callers told to come back.
-	sentAway int
-	// reported is the last demand report.
+	// retryHints counts the requests refused with a retry hint since the last call of Usage.
+	retryHints int
+	// reported is the last demand report that differed from the one before.
 	reported demand.Report
-	// coldSince is when requests began to wait without any endpoint.
+	// coldSince is when the first request arrived that waits while the pool has no endpoint; zero if none does.
 	coldSince time.Time
 }
 
-// place is one endpoint as the pool uses it.
-type place struct {
+// candidate is one endpoint of a pool with its state.
+type candidate struct {
 	view.Endpoint
-	gate *gate
-	// others is how many other endpoints the pool had when the place was picked.
-	others int
-	// limit is the endpoint's limit then, in requests a second; 0 for none.
+	endpointState *endpointState
+	// otherEndpoints is the number of other endpoints in the pool when this one was picked.
+	otherEndpoints int
+	// limit is the endpoint's rate limit when it was picked, in requests a second; 0 for none.
 	limit float64
 }
 
-// admit refuses what cannot make its deadline.
-func (p *pool) admit(a Ask, budget *retry.Budget, now time.Time) error {
-	if a.Again {
+// admit refuses a request that cannot meet its deadline, or a retry for which the budget has no room. For an admitted
+// retry it reserves a place in the budget, which finishRetry settles.
+func (p *pool) admit(req SlotRequest, budget *retry.Budget, now time.Time) error {
+	if req.Resend {
 		return nil
 	}
-	if a.Retry {
+	if req.Retry {
 		if !budget.Hold(now) {
 			return refusal.New(refusal.NoEndpoint, "an endpoint of %s failed and the retry budget is used up", p.name)
 		}
 		return nil
 	}
 	p.arrivals++
-	if p.objective == 0 || a.Objective > 0 && a.Objective < p.objective {
-		p.objective = a.Objective
+	if p.objective == 0 || req.Objective > 0 && req.Objective < p.objective {
+		p.objective = req.Objective
 	}
 	budget.Earn(now)
 	least := p.model.AtLeast(admit.Wait{
 		Ready: len(p.endpoints) > 0, Ahead: p.queue.Len(), Capacity: p.capacity(), LoadElapsed: p.loadElapsed(now),
 	})
-	if left := a.Deadline.Sub(now); least > left {
-		return refusal.New(refusal.CannotMakeDeadline, "%s is left and the wait for %s is at least %s",
+	if left := req.Deadline.Sub(now); least > left {
+		return refusal.New(refusal.CannotMakeDeadline, "%s of the request's time is left, and the wait for %s is at least %s",
 			left.Round(time.Millisecond), p.name, least.Round(time.Millisecond)).After(least - left)
 	}
 	return nil
 }
 
-// capacity is how many requests of this node the endpoints run at once.
+// capacity returns how many requests of this node the pool's endpoints run at once; at least 1.
 func (p *pool) capacity() int {
 	n := 0
-	for _, pl := range p.endpoints {
-		n += pl.gate.window.Size()
+	for _, cand := range p.endpoints {
+		n += cand.endpointState.window.Size()
 	}
 	return max(1, n)
 }
@@ -101,90 +104,93 @@
 	return now.Sub(p.loadingSince)
 }
 
-// pick chooses a place with room; ok is false when there is none.
-func (p *pool) pick(now time.Time, hall string, a *Ask) (place, bool) {
+// pick chooses an endpoint with room for the request. ok is false if there is none. hall is the data hall of this
+// node.
+func (p *pool) pick(now time.Time, hall string, req *SlotRequest) (candidate, bool) {
 	n := len(p.endpoints)
 	if n == 0 {
-		return place{}, false
+		return candidate{}, false
 	}
-	p.turn++
-	home := p.home(a.Affinity)
+	p.rotation++
+	affinityEndpoint := p.affinityEndpoint(req.Affinity)
 	replicas := make([]choose.Replica, 0, n)
 	for i := range n {
-		pl := p.endpoints[(i+p.turn)%n]
-		r := pl.gate.replica(hall, now)
-		r.Shut = r.Shut || a.Unlimited && pl.gate.limit > 0
-		r.Avoid = n > 1 && slices.Contains(a.Avoid, pl.Name)
-		r.Home = pl.Name == home
-		if a.suspect() {
-			r.Apart, r.Spread = true, mix(xxhash.Sum64(a.Request[:])^xxhash.Sum64String(pl.Name))
+		cand := p.endpoints[(i+p.rotation)%n]
+		r := cand.endpointState.replica(hall, now)
+		r.Shut = r.Shut || req.SkipLimited && cand.endpointState.limit > 0
+		r.Avoid = n > 1 && slices.Contains(req.Avoid, cand.Name)
+		r.Home = cand.Name == affinityEndpoint
+		if req.mayCrashEngine() {
+			r.Apart, r.Spread = true, mix(xxhash.Sum64(req.RequestFingerprint[:])^xxhash.Sum64String(cand.Name))
 		}
 		replicas = append(replicas, r)
 	}
 	i := choose.Pick(replicas, now)
 	if i < 0 {
-		return place{}, false
+		return candidate{}, false
 	}
-	pl := p.endpoints[(i+p.turn)%n]
-	pl.others, pl.limit = n-1, pl.gate.limit
-	return pl, true
+	cand := p.endpoints[(i+p.rotation)%n]
+	cand.otherEndpoints, cand.limit = n-1, cand.endpointState.limit
+	return cand, true
 }
 
-// home returns the endpoint that most likely keeps the beginning of a prompt.
-func (p *pool) home(affinity uint64) string {
+// affinityEndpoint returns the name of the endpoint that most likely has the beginning of the prompt cached, by
+// rendezvous hashing; "" if the request has no affinity key.
+func (p *pool) affinityEndpoint(affinity uint64) string {
 	if affinity == 0 {
 		return ""
 	}
-	home, best := "", uint64(0)
-	for _, pl := range p.endpoints {
-		if h := xxhash.Sum64String(pl.Name) ^ affinity; home == "" || mix(h) > best {
-			home, best = pl.Name, mix(h)
+	affinityEndpoint, best := "", uint64(0)
+	for _, cand := range p.endpoints {
+		if h := xxhash.Sum64String(cand.Name) ^ affinity; affinityEndpoint == "" || mix(h) > best {
+			affinityEndpoint, best = cand.Name, mix(h)
 		}
 	}
-	return home
+	return affinityEndpoint
 }
 
-// mix spreads the bits of a hash (the finalizer of splitmix64), so that the
-// homes of different prompts do not depend on each other.
+// mix scrambles the bits of a hash (the finalizer of splitmix64), so that the endpoints chosen for different affinity
+// keys are independent.
 func mix(h uint64) uint64 {
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
 	return h ^ h>>31
 }
 
-// update takes the endpoints of a view over.
-func (p *pool) update(v *view.View, places []place, now time.Time) {
+// update replaces the pool's endpoints with those of a view. When the first endpoint appears, the time since
+// coldSince is recorded as a load time.
+func (p *pool) update(v *view.View, places []candidate, now time.Time) {
 	if len(p.endpoints) == 0 && len(places) > 0 && !p.coldSince.IsZero() {
 		p.model.Load.Observe(now.Sub(p.coldSince))
 	}
 	if len(places) > 0 || p.queue.Len() == 0 {
 		p.coldSince = time.Time{}
 	}
-	for _, pl := range p.endpoints {
-		delete(pl.gate.pools, p)
+	for _, cand := range p.endpoints {
+		delete(cand.endpointState.pools, p)
 	}
 	p.endpoints = places
-	for _, pl := range places {
-		pl.gate.pools[p] = true
+	for _, cand := range places {
+		cand.endpointState.pools[p] = true
 	}
-	p.loadingSince = v.LoadingSince[p.base]
-	p.readyAt = v.ReadyAt[p.base]
-	p.elsewhere = len(places) == 0 && !p.regions.All() && len(v.Pool(p.base)) > 0
+	p.loadingSince = v.LoadingSince[p.basePool]
+	p.readyAt = v.ReadyAt[p.basePool]
+	p.outsideRegions = len(places) == 0 && !p.regions.All() && len(v.Pool(p.basePool)) > 0
 }
 
-// remove takes an endpoint out at once, without waiting for the view.
-func (p *pool) remove(g *gate) {
+// remove removes an endpoint at once, without waiting for a view without it.
+func (p *pool) remove(ep *endpointState) {
 	kept := p.endpoints[:0:0]
-	for _, pl := range p.endpoints {
-		if pl.gate != g {
-			kept = append(kept, pl)
+	for _, cand := range p.endpoints {
+		if cand.endpointState != ep {
+			kept = append(kept, cand)
 		}
 	}
 	p.endpoints = kept
 }
 
-// report returns the pool's demand and whether it is news. How many run is news
-// only when it becomes none or some: the exact number serves no decision.
+// report returns the pool's demand and whether it has changed since the last changed report. The running count
+// matters only as zero or nonzero, since no decision depends on the exact number.
 func (p *pool) report() (demand.Report, bool) {
 	r := demand.Report{Unit: p.name, Waiting: p.queue.Len(), Running: p.running, Arrivals: p.arrivals}
 	if deadline, ok := p.queue.Earliest(); ok {
--- a/internal/traffic/region_test.go
+++ b/internal/traffic/region_test.go
@@ -9,10 +9,10 @@
 	"olivetiller/core/view"
 )
 
-// TestRequestStaysInItsRegions guards against a request that reaches an endpoint in a region that may not serve it, and
-// against one that waits until its deadline where no endpoint may.
+// TestRequestStaysInItsRegions guards against sending a request to an endpoint in a region that may not serve it, and
+// against letting it wait until its deadline if no endpoint is in an allowed region.
 func TestRequestStaysInItsRegions(t *testing.T) {
-	s := newLimitedSite()
+	s := newLimitedPoolSetup()
 	s.SetRegions(map[string]string{"h-1": "a", "h-2": "b"})
 	show := func(halls ...string) {
 		v := &view.View{Endpoints: make(map[string][]view.Endpoint)}
@@ -24,7 +24,7 @@
 		s.Update(v, []string{limitedPool})
 	}
 	ask := func(pool string) (string, error) {
-		slot, err := s.Acquire(t.Context(), pool, Ask{Deadline: s.clock.Now().Add(time.Minute)})
+		slot, err := s.Acquire(t.Context(), pool, SlotRequest{Deadline: s.clock.Now().Add(time.Minute)})
 		if err != nil {
 			return "", err
 		}
--- a/internal/traffic/slot.go
+++ b/internal/traffic/slot.go
@@ -7,115 +7,115 @@
 	"olivetiller/core/view"
 )
 
-// Ask is a request for a slot.
-type Ask struct {
+// SlotRequest describes a request that needs a slot.
+type SlotRequest struct {
+	// Caller is the account among which the pool's queue shares capacity fairly.
 	Caller string
 	// Deadline is when the caller must have its answer or refusal.
 	Deadline time.Time
 	// Bytes is the memory the request holds while it waits.
 	Bytes int64
-	// Cost is what serving it takes; at least 1.
+	// Cost is the share of capacity that the request takes, for fair queueing; at least 1.
 	Cost float64
-	// Avoid names the endpoints that failed the request.
+	// Avoid names the endpoints at which earlier attempts failed. They are picked last.
 	Avoid []string
-	// Request names the request, and State is what is thought of it: those under which
-	// engines may end run apart from each other.
-	Request quarantine.Fingerprint
-	State   quarantine.State
-	// Retry marks a second attempt, which the retry budget must allow.
+	// RequestFingerprint identifies the request, and State is its quarantine state. Requests that may terminate
+	// engines are spread over different endpoints.
+	RequestFingerprint quarantine.Fingerprint
+	State              quarantine.State
+	// Retry marks a further attempt that the retry budget must allow.
 	Retry bool
-	// Again marks a further attempt after one of which nothing was sent: it counts no more.
-	Again bool
-	// Unlimited leaves out the endpoints that limit their requests.
-	Unlimited bool
-	// Budget names the retry budget; "" takes that of the pool.
+	// Resend marks an attempt after one of which nothing was sent. It is admitted without a deadline check and not
+	// counted as an arrival or retry again.
+	Resend bool
+	// SkipLimited leaves out endpoints with a rate limit.
+	SkipLimited bool
+	// Budget names the retry budget; "" selects that of the pool.
 	Budget string
-	// Objective is the time from now within which an answer is in time; 0 for
-	// none. Among waiting requests the one whose time ends first goes first.
+	// Objective is the latency objective, counted from now; 0 for none. Queued requests of one caller are served in
+	// the order of objective or deadline, whichever is earlier.
 	Objective time.Duration
-	// Leaves is when the caller leaves if nothing of an answer came; zero where it
-	// stays until the deadline.
-	Leaves time.Time
-	// Affinity is equal for requests that share the beginning of their prompts; 0
-	// for none.
+	// AbandonAt is when the caller gives up if no part of the answer has come; zero if it waits until Deadline.
+	AbandonAt time.Time
+	// Affinity is equal for requests whose prompts share a prefix; 0 for none.
 	Affinity uint64
-	// Prompt is the length of the prompt in tokens; 0 where there is none.
+	// Prompt is the length of the prompt in tokens; 0 if there is none.
 	Prompt int
 }
 
-// suspect reports whether engines may end under the request.
-func (a *Ask) suspect() bool {
-	return a.State == quarantine.Suspected || a.State == quarantine.Isolated || a.State == quarantine.OnTrial
+// mayCrashEngine reports whether the request is suspected to terminate the engines that run it.
+func (req *SlotRequest) mayCrashEngine() bool {
+	return req.State == quarantine.Suspected || req.State == quarantine.Isolated || req.State == quarantine.OnTrial
 }
 
-// urgent is the time by which the request wants its place.
-func (a *Ask) urgent(now time.Time) time.Time {
-	if at := now.Add(a.Objective); a.Objective > 0 && at.Before(a.Deadline) {
+// queueDeadline returns the deadline by which the queue orders the request that arrived at now: the end of its
+// latency objective if that is before its deadline, or else the deadline.
+func (req *SlotRequest) queueDeadline(now time.Time) time.Time {
+	if at := now.Add(req.Objective); req.Objective > 0 && at.Before(req.Deadline) {
 		return at
 	}
-	return a.Deadline
+	return req.Deadline
 }
 
-// until is when the request stops waiting: to wait on would only keep its caller from
-// asking again.
-func (a *Ask) until() time.Time {
-	if !a.Leaves.IsZero() && a.Leaves.Before(a.Deadline) {
-		return a.Leaves
+// waitDeadline returns when the request stops waiting. A caller that has given up should be refused by then, as a
+// longer wait would only keep it from asking again.
+func (req *SlotRequest) waitDeadline() time.Time {
+	if !req.AbandonAt.IsZero() && req.AbandonAt.Before(req.Deadline) {
+		return req.AbandonAt
 	}
-	return a.Deadline
+	return req.Deadline
 }
 
-// Slot is a place at an endpoint.
+// Slot is permission to run one request at an endpoint. It must be released.
 type Slot struct {
 	Endpoint view.Endpoint
-	// Waited is how long the request waited for it.
+	// Waited is how long the request waited for the slot.
 	Waited time.Duration
-	// Cold is true when no endpoint was ready on arrival.
+	// Cold is true if the pool had no endpoint when the request arrived.
 	Cold bool
-	// Expected is when the first forecast expected the model that the request waited
-	// for; zero if there was none.
+	// Expected is when the model was first predicted to be ready, for a request that waited for it; zero if there was
+	// no prediction.
 	Expected time.Time
-	// Others is how many other endpoints the pool had then.
-	Others int
+	// OtherEndpoints is the number of other endpoints that the pool had when the slot was granted.
+	OtherEndpoints int
 
-	dispatcher *Dispatcher
-	pool       *pool
-	gate       *gate
-	at         time.Time
-	// prompt is the length of the prompt until it has been read.
+	dispatcher    *Dispatcher
+	pool          *pool
+	endpointState *endpointState
+	grantedAt     time.Time
+	// prompt is the length of the prompt in tokens, or 0 once the endpoint has read it.
 	prompt int
-	// suspect is true where engines may end under the request.
-	suspect bool
-	// limit is what the endpoint takes, in requests a second, where the request is charged to it; 0 where it named no
-	// limit.
+	// mayCrashEngine is SlotRequest.mayCrashEngine.
+	mayCrashEngine bool
+	// limit is the endpoint's rate limit, in requests a second, to which the request is charged; 0 for none.
 	limit float64
 }
 
-// Result is what became of a request at its endpoint.
+// Result is the outcome of a request at its endpoint.
 type Result struct {
 	// Err is nil when the endpoint answered.
 	Err error
-	// Full is true when the endpoint refused for want of room.
+	// Full is true when the endpoint refused the request because it has no capacity.
 	Full bool
-	// NotBegun is true when the endpoint is well but did not take the request.
-	NotBegun bool
-	// Ended is true when the endpoint's process has ended.
+	// NotStarted is true when the endpoint did not start the request, but is healthy.
+	NotStarted bool
+	// Ended is true when the endpoint's process has terminated.
 	Ended bool
-	// Silent is true when the endpoint gave no sign in time or was not reached.
+	// Silent is true when the endpoint could not be reached or sent nothing in time.
 	Silent bool
-	// Missing is true when the engine does not hold what the request is for.
+	// Missing is true when the engine does not hold the model of the request.
 	Missing bool
-	// Running is the load the endpoint reported; negative if none.
+	// Running is the load that the endpoint reported, in running requests; negative if it reported none.
 	Running int
-	// Leaving is true when the endpoint said that it takes no new work.
+	// Leaving is true when the endpoint said that it is draining and takes no new requests.
 	Leaving bool
 }
 
-// At is when the slot was given.
-func (s *Slot) At() time.Time { return s.at }
+// GrantedAt returns when the slot was granted.
+func (s *Slot) GrantedAt() time.Time { return s.grantedAt }
 
-// Began notes that the answer has begun: the prompt has been read.
-func (s *Slot) Began() { s.dispatcher.began(s) }
+// PromptRead records that the answer has begun, so the endpoint has read the prompt.
+func (s *Slot) PromptRead() { s.dispatcher.promptRead(s) }
 
-// Release gives the slot back and lets the next request in.
+// Release returns the slot with the outcome of its request and grants it to the next one.
 func (s *Slot) Release(r Result) { s.dispatcher.release(s, r) }
--- a/internal/traffic/usage.go
+++ b/internal/traffic/usage.go
@@ -7,8 +7,8 @@
 	"olivetiller/core/demand"
 )
 
-// Reports returns the demand of the pools that changed since the last call, and
-// with all set of every pool that has work.
+// Reports returns the demand of the pools whose demand has changed since the last call. If all is set, it adds every
+// other pool that has queued or running requests.
 func (d *Dispatcher) Reports(all bool) []demand.Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -21,31 +21,33 @@
 	return out
 }
 
-// Totals is the work of all pools.
+// Totals sums up the state of all pools of this node, for the status page.
 type Totals struct {
+	// Waiting and Running count requests. WaitingBytes is the memory that the waiting ones hold.
 	Waiting      int   `json:"waiting"`
 	Running      int   `json:"running"`
 	WaitingBytes int64 `json:"waitingBytes"`
-	// RetryReserve is what this node may retry in a window beyond its share of first attempts.
+	// RetryReserve is how many retries in a window each retry budget of this node allows beyond its share of first
+	// attempts.
 	RetryReserve float64 `json:"retryReserve"`
-	// Limited are the endpoints that limit their requests, in requests a second by name.
+	// Limited holds the rate limits that endpoints reported, in requests a second by name.
 	Limited map[string]float64 `json:"limitedEndpoints"`
-	// Leaving are the endpoints that have said that they leave, and Resting those that asked this node for rest, in
-	// milliseconds left by name.
+	// Leaving names the draining endpoints. Resting holds the time left, in milliseconds by name, of the backoffs
+	// that endpoints asked of this node.
 	Leaving []string         `json:"leavingEndpoints"`
 	Resting map[string]int64 `json:"restingEndpoints"`
-	// HeldByLimit counts the times that a request got no place since its endpoint's limit had no room, and Withheld
-	// the requests that did not leave for their endpoint by what it had said meanwhile, by what that was.
+	// HeldByLimit counts how often a request lost its slot because the endpoint's rate limit had no capacity.
+	// Withheld counts the requests that CheckSend withheld, by WithheldError.By.
 	HeldByLimit int64            `json:"heldByLimit"`
 	Withheld    map[string]int64 `json:"withheld"`
 }
 
-// Totals returns the work of all pools.
+// Totals returns the current totals.
 func (d *Dispatcher) Totals() Totals {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t := Totals{RetryReserve: d.retries.Reserve, Limited: d.book.Limits(), Resting: d.book.Resting(d.clock.Now()), HeldByLimit: d.heldByLimit, Withheld: maps.Clone(d.withheld)}
-	for _, l := range d.book.Leaving() {
+	t := Totals{RetryReserve: d.retries.Reserve, Limited: d.signals.Limits(), Resting: d.signals.Resting(d.clock.Now()), HeldByLimit: d.heldByLimit, Withheld: maps.Clone(d.withheld)}
+	for _, l := range d.signals.Leaving() {
 		t.Leaving = append(t.Leaving, l.Endpoint)
 	}
 	for _, p := range d.pools {
@@ -56,41 +58,42 @@
 	return t
 }
 
-// Usage is a pool's work as the placement of models wants to know it.
+// Usage is a pool's demand in the form that model placement needs.
 type Usage struct {
-	Pool     string
+	Pool string
+	// Waiting counts queued requests, and Arrivals first attempts since the last call.
 	Waiting  int
 	Arrivals int
-	// SentAway counts the callers told to come back since the last call.
+	// SentAway counts the requests refused with a retry hint since the last call.
 	SentAway int
-	// Objective is the least objective among the arrivals; 0 if none tells one.
+	// Objective is the smallest latency objective among the arrivals; 0 if none has one.
 	Objective time.Duration
-	// Urgent is the next time by which one of the waiting wants its place, a past
-	// one if all are late; Last is when the last of them does. Zero if none waits.
+	// Urgent is the earliest queue deadline among the waiting requests that is not past, or the earliest of all if
+	// every one is past. Last is the latest. Both are zero if none waits.
 	Urgent, Last time.Time
-	// RunningAt counts the running requests by endpoint.
+	// RunningAt counts the running requests by endpoint name.
 	RunningAt map[string]int
 }
 
-// Usage returns the work of every pool that has or had any since the last call.
+// Usage returns the usage of every pool that has work or has had any since the last call.
 func (d *Dispatcher) Usage() []Usage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
 	var out []Usage
 	for _, p := range d.pools {
-		if p.queue.Len() == 0 && p.running == 0 && p.arrivals == 0 && p.sentAway == 0 {
+		if p.queue.Len() == 0 && p.running == 0 && p.arrivals == 0 && p.retryHints == 0 {
 			continue
 		}
-		u := Usage{Pool: p.name, Waiting: p.queue.Len(), Arrivals: p.arrivals, SentAway: p.sentAway, Objective: p.objective, RunningAt: maps.Clone(p.runningAt)}
+		u := Usage{Pool: p.name, Waiting: p.queue.Len(), Arrivals: p.arrivals, SentAway: p.retryHints, Objective: p.objective, RunningAt: maps.Clone(p.runningAt)}
 		u.Urgent, u.Last, _ = p.queue.Due(now)
-		p.arrivals, p.sentAway, p.objective = 0, 0, 0
+		p.arrivals, p.retryHints, p.objective = 0, 0, 0
 		out = append(out, u)
 	}
 	return out
 }
 
-// Load returns the work of one pool.
+// Load returns the numbers of waiting and running requests of one pool.
 func (d *Dispatcher) Load(name string) (waiting, running int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/traffic/wait.go
+++ b/internal/traffic/wait.go
@@ -10,37 +10,36 @@
 )
 
 const (
-	// returnShare is the part of its remaining time that a caller is at most
-	// willing to stay away, by the platform's page.
-	returnShare = 3
-	// returnMargin is added to the time at which a model is expected: who comes
-	// back a little too early waits, who comes later is served at once.
-	returnMargin = 150 * time.Millisecond
-	// restPace is the least time between two callers that come back to one endpoint.
-	restPace = 50 * time.Millisecond
+	// maxRetryFraction bounds a retry hint to this fraction (1/3) of the request's remaining time. By the platform's
+	// documentation, callers stay away no longer than that.
+	maxRetryFraction = 3
+	// retryMargin is added to the time at which a model is expected to be ready. A caller that comes back slightly
+	// early has to wait, while one that comes back later is served at once.
+	retryMargin = 150 * time.Millisecond
+	// minRetryInterval is the least time between the hints to two callers that wait for the same endpoint.
+	minRetryInterval = 50 * time.Millisecond
 )
 
-// waiter is a request in a queue.
+// waiter is a queued request.
 type waiter struct {
-	item *queue.Item
-	ask  Ask
-	// expected is when the first forecast told that its model would be there; zero while
-	// none has.
-	expected time.Time
-	// ended carries what the wait came to.
-	ended chan verdict
+	item    *queue.Item
+	request SlotRequest
+	// forecastReady is when the model was first predicted to be ready; zero without a prediction.
+	forecastReady time.Time
+	// ended receives the result of the wait; it is buffered and receives exactly one.
+	ended chan waitResult
 }
 
-// verdict ends a wait: with a place, or with a reason why there is none.
-type verdict struct {
-	place
-	// expected is when the first forecast expected it; zero if there was none.
-	expected time.Time
-	refused  error
+// waitResult ends a wait, with a candidate or with the refusal.
+type waitResult struct {
+	candidate
+	// forecastReady is waiter.forecastReady.
+	forecastReady time.Time
+	refused       error
 }
 
-// StopWaiting refuses all requests that wait, and from here on those that would:
-// the process is about to end, and another node can still serve them.
+// StopWaiting refuses all queued requests, and from now on every request that would have to wait. It is called when
+// the process is about to exit, while other nodes can still serve these requests.
 func (d *Dispatcher) StopWaiting() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -51,76 +50,79 @@
 	}
 }
 
-// wait blocks until the waiter is granted a place or refused, or its time is up.
+// wait blocks until the waiter gets a slot or is refused, its wait deadline passes, ctx ends, or the node stops.
 func (d *Dispatcher) wait(ctx context.Context, p *pool, w *waiter, start, now time.Time, cold bool) (*Slot, error) {
-	timer := d.clock.NewTimer(w.ask.until().Sub(now))
+	timer := d.clock.NewTimer(w.request.waitDeadline().Sub(now))
 	defer timer.Stop()
-	var v verdict
+	var v waitResult
 	select {
 	case v = <-w.ended:
 	case <-d.stopped:
-		v = d.leave(p, w, refusal.New(refusal.Stopping, "this node ends; %s is not served here in time", p.name))
+		v = d.cancelWait(p, w, refusal.New(refusal.Stopping, "this node is shutting down; no slot at %s was granted before", p.name))
 	case <-timer.Chan():
-		v = d.leave(p, w, tooLong(p, d.clock.Now().Sub(start)))
+		v = d.cancelWait(p, w, waitedTooLong(p, d.clock.Now().Sub(start)))
 	case <-ctx.Done():
-		v = d.leave(p, w, tooLong(p, d.clock.Now().Sub(start)))
+		v = d.cancelWait(p, w, waitedTooLong(p, d.clock.Now().Sub(start)))
 	}
 	if v.refused != nil {
 		return nil, v.refused
 	}
-	s := d.slot(p, v.place, &w.ask, start, d.clock.Now(), cold)
-	s.Expected = v.expected
+	s := d.slot(p, v.candidate, &w.request, start, d.clock.Now(), cold)
+	s.Expected = v.forecastReady
 	return s, nil
 }
 
-func tooLong(p *pool, waited time.Duration) error {
-	return refusal.New(refusal.WaitedTooLong, "no place at %s came free within %s", p.name, waited.Round(time.Millisecond))
+// waitedTooLong returns the refusal of a request that got no slot in time.
+func waitedTooLong(p *pool, waited time.Duration) error {
+	return refusal.New(refusal.WaitedTooLong, "no endpoint of %s had room within %s", p.name, waited.Round(time.Millisecond))
 }
 
-// leave takes a waiter out of the queue, for a reason. If its wait ended in the same
-// moment that counts: giving a place up then would waste it.
-func (d *Dispatcher) leave(p *pool, w *waiter, why error) verdict {
+// cancelWait removes a waiter from the queue and refuses it with the given error. If its wait has ended already, that
+// result counts, since discarding a granted slot would waste it.
+func (d *Dispatcher) cancelWait(p *pool, w *waiter, why error) waitResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if p.queue.Remove(w.item) {
-		return verdict{refused: why}
+		return waitResult{refused: why}
 	}
 	return <-w.ended
 }
 
-// hopeless returns why a request behind others need not wait: by the forecast its model comes, or by what the
-// endpoints say they take it again, when its caller will have left. The refusal tells when to come back.
-func (p *pool) hopeless(a *Ask, ahead int, now time.Time) error {
-	if at, ok := p.opensAt(ahead, now); ok && at.After(a.until()) {
-		return refusal.New(refusal.CannotMakeDeadline, "the endpoints of %s take requests again in %s by their own word, after its caller has left",
-			p.name, at.Sub(now).Round(time.Millisecond)).After(p.comeBack(at, a, now))
+// checkDeadline returns a refusal if the request, with ahead others in front of it, cannot get a slot before its
+// caller gives up: because the model is predicted to be ready later, or because every endpoint is limited or
+// unavailable for longer. The refusal carries a retry hint. It also refuses a request for which no endpoint is in an
+// allowed region.
+func (p *pool) checkDeadline(req *SlotRequest, ahead int, now time.Time) error {
+	if at, ok := p.availableAt(ahead, now); ok && at.After(req.waitDeadline()) {
+		return refusal.New(refusal.CannotMakeDeadline, "the endpoints of %s accept no requests for another %s, until after the caller gives up",
+			p.name, at.Sub(now).Round(time.Millisecond)).After(p.retryAfter(at, req, now))
 	}
-	if len(p.endpoints) == 0 && p.elsewhere {
+	if len(p.endpoints) == 0 && p.outsideRegions {
 		return refusal.New(refusal.NoEndpoint, "no endpoint of %s is in a region that may serve the request", p.name)
 	}
-	if len(p.endpoints) > 0 || !p.readyAt.After(a.until()) {
+	if len(p.endpoints) > 0 || !p.readyAt.After(req.waitDeadline()) {
 		return nil
 	}
-	away := min(p.readyAt.Sub(now)+returnMargin, a.Deadline.Sub(now)/returnShare)
-	return refusal.New(refusal.CannotMakeDeadline, "%s is expected in %s, after its caller has left",
-		p.name, p.readyAt.Sub(now).Round(time.Millisecond)).After(away)
+	delay := min(p.readyAt.Sub(now)+retryMargin, req.Deadline.Sub(now)/maxRetryFraction)
+	return refusal.New(refusal.CannotMakeDeadline, "%s is predicted to be ready in %s, after the caller gives up",
+		p.name, p.readyAt.Sub(now).Round(time.Millisecond)).After(delay)
 }
 
-// forecast notes in the requests that wait when the model is expected.
-func (p *pool) forecast() {
+// recordForecast stores the predicted ready time in the queued requests that have none yet.
+func (p *pool) recordForecast() {
 	if len(p.endpoints) > 0 || p.readyAt.IsZero() {
 		return
 	}
 	for _, it := range p.queue.Items() {
-		if w := it.Value.(*waiter); w.expected.IsZero() {
-			w.expected = p.readyAt
+		if w := it.Value.(*waiter); w.forecastReady.IsZero() {
+			w.forecastReady = p.readyAt
 		}
 	}
 }
 
-// refuseHopeless ends the waits that have become hopeless.
-func (p *pool) refuseHopeless(now time.Time) {
-	if _, bound := p.opensAt(0, now); !bound && (len(p.endpoints) > 0 || p.readyAt.IsZero()) {
+// refuseUnservable refuses the queued requests that checkDeadline rejects now.
+func (p *pool) refuseUnservable(now time.Time) {
+	if _, bound := p.availableAt(0, now); !bound && (len(p.endpoints) > 0 || p.readyAt.IsZero()) {
 		return
 	}
 	items := p.queue.Items()
@@ -128,20 +130,21 @@
 	ahead := 0
 	for _, it := range items {
 		w := it.Value.(*waiter)
-		err := p.hopeless(&w.ask, ahead, now)
+		err := p.checkDeadline(&w.request, ahead, now)
 		if err == nil {
 			ahead++
 			continue
 		}
 		p.queue.Remove(it)
-		p.sentAway++
-		w.ended <- verdict{refused: err}
+		p.retryHints++
+		w.ended <- waitResult{refused: err}
 	}
 }
 
-// ahead returns how many of the waiting want their places sooner, where that decides when a request gets one.
-func (p *pool) ahead(urgent, now time.Time) int {
-	if _, bound := p.opensAt(0, now); !bound {
+// requestsAhead returns how many queued requests have a queue deadline no later than the given one. It returns 0 if
+// rate limits and backoffs do not decide when a request gets a slot.
+func (p *pool) requestsAhead(urgent, now time.Time) int {
+	if _, bound := p.availableAt(0, now); !bound {
 		return 0
 	}
 	n := 0
@@ -153,14 +156,15 @@
 	return n
 }
 
-// comeBack returns when a caller is to come back whose pool has room at a moment, each a pace later than the one
-// before: told the same moment all but one would be refused again.
-func (p *pool) comeBack(at time.Time, a *Ask, now time.Time) time.Duration {
-	away := at.Sub(now) + returnMargin
-	for _, pl := range p.endpoints {
-		g := pl.gate
-		away += time.Duration(g.sentAway) * max(g.pace, restPace) / time.Duration(len(p.endpoints))
-		g.sentAway++
+// retryAfter returns the retry hint for a caller whose pool has capacity again at the given time. Each hint is one
+// interval later than the one before, since of callers that come back at the same moment all but one are refused
+// again.
+func (p *pool) retryAfter(at time.Time, req *SlotRequest, now time.Time) time.Duration {
+	delay := at.Sub(now) + retryMargin
+	for _, cand := range p.endpoints {
+		ep := cand.endpointState
+		delay += time.Duration(ep.retryHints) * max(ep.interval, minRetryInterval) / time.Duration(len(p.endpoints))
+		ep.retryHints++
 	}
-	return min(away, a.Deadline.Sub(now)/returnShare)
+	return min(delay, req.Deadline.Sub(now)/maxRetryFraction)
 }
--- a/io/caller/attempts.go
+++ b/io/caller/attempts.go
@@ -15,7 +15,7 @@
 
 // try sends the request to the endpoint of a slot, which the ask got, and tells the run when
 // the endpoint begins and whether it answered well.
-type try func(ctx context.Context, slot *traffic.Slot, ask traffic.Ask, run *isolation.Run) (traffic.Result, error)
+type try func(ctx context.Context, slot *traffic.Slot, ask traffic.SlotRequest, run *isolation.Run) (traffic.Result, error)
 
 // tries counts the attempts of a request.
 type tries struct {
@@ -65,7 +65,7 @@
 		if step != retry.Repeat {
 			return s.endOf(step, x, err)
 		}
-		ask.Again = withheld(err)
+		ask.Resend = withheld(err)
 		s.Metrics.Retries.Add(outcome.String(), 1)
 		ask.Avoid = append(ask.Avoid, slot.Endpoint.Name)
 		ask.Retry = outcome != retry.NotSent || x.Target.Budget != ""
@@ -75,11 +75,11 @@
 	}
 }
 
-func newAsk(x *Exchange) traffic.Ask {
-	return traffic.Ask{
+func newAsk(x *Exchange) traffic.SlotRequest {
+	return traffic.SlotRequest{
 		Caller: x.Caller.GetName(), Deadline: x.Deadline, Bytes: int64(len(x.Body)), Cost: x.Target.Cost,
 		Budget: x.Target.Budget, Objective: x.Target.Objective, Affinity: x.Target.Affinity,
-		Prompt: x.Target.TokensIn, Request: x.Fingerprint,
+		Prompt: x.Target.TokensIn, RequestFingerprint: x.Fingerprint,
 	}
 }
 
@@ -87,7 +87,7 @@
 // ends engines is sent at every node for ever, 30 times in 15 tries at 3 nodes where it is 4 now.
 // It is asked again once the place is there: the wait may have been long. The function returned
 // is to be called when the attempt is over, with whether an endpoint has answered it.
-func (s *Server) nextPlace(ctx context.Context, x *Exchange, ask *traffic.Ask) (slot *traffic.Slot, turnOver func(well bool), err error) {
+func (s *Server) nextPlace(ctx context.Context, x *Exchange, ask *traffic.SlotRequest) (slot *traffic.Slot, turnOver func(well bool), err error) {
 	if !x.trial {
 		trial, err := s.Isolation.Admit(ctx, x.Fingerprint)
 		if err != nil {
@@ -95,7 +95,7 @@
 		}
 		x.trial = trial
 	}
-	ask.Leaves, ask.State = s.leaves(x), s.Isolation.State(x.Fingerprint)
+	ask.AbandonAt, ask.State = s.leaves(x), s.Isolation.State(x.Fingerprint)
 	slot, err = s.place(ctx, x, *ask)
 	if err != nil {
 		return nil, nil, err
@@ -110,7 +110,7 @@
 		}
 	}
 	if err != nil {
-		slot.Release(traffic.Result{NotBegun: true, Running: -1})
+		slot.Release(traffic.Result{NotStarted: true, Running: -1})
 		return nil, nil, err
 	}
 	return slot, turnOver, nil
@@ -140,7 +140,7 @@
 
 // place returns the place of the next attempt: the one that it has already, or one
 // that it waits for.
-func (s *Server) place(ctx context.Context, x *Exchange, ask traffic.Ask) (*traffic.Slot, error) {
+func (s *Server) place(ctx context.Context, x *Exchange, ask traffic.SlotRequest) (*traffic.Slot, error) {
 	if slot := x.next; slot != nil {
 		x.next = nil
 		return slot, nil
@@ -151,7 +151,7 @@
 // dropNext gives a place back that no attempt follows to.
 func (x *Exchange) dropNext() {
 	if x.next != nil {
-		x.next.Release(traffic.Result{NotBegun: true, Running: -1})
+		x.next.Release(traffic.Result{NotStarted: true, Running: -1})
 		x.next = nil
 	}
 }
@@ -176,7 +176,7 @@
 	}
 	s.Logger.Info("attempt failed", "requestId", x.ID, "fingerprint", x.Fingerprint.String(), "attempt", n, "endpoint", slot.Endpoint.Name, "address", slot.Endpoint.Address,
 		"pool", x.Target.Pool, "waitedMs", slot.Waited.Milliseconds(), "outcome", outcomeOf(err).String(),
-		"heldMs", s.Clock.Now().Sub(slot.At()).Milliseconds(), "events", x.Trail.Events, "sends", sendsOf(err), "error", err.Error())
+		"heldMs", s.Clock.Now().Sub(slot.GrantedAt()).Milliseconds(), "events", x.Trail.Events, "sends", sendsOf(err), "error", err.Error())
 }
 
 // endStep is how a request ends of which an attempt may have run.
@@ -232,14 +232,14 @@
 		r.Full, r.Missing, r.Leaving = e.Full, e.Missing, e.Gone
 		if e.Withheld {
 			// It says nothing of the endpoint.
-			r.Err, r.NotBegun = nil, true
+			r.Err, r.NotStarted = nil, true
 			return r
 		}
 		r.Silent = e.Unreached || errors.Is(e.Cause, errStalled)
 		if e.Outcome == retry.NotSent && e.Refused {
 			// The endpoint is well; it only did not begin this request.
 			r.Err = nil
-			r.NotBegun = true
+			r.NotStarted = true
 		}
 	}
 	return r
--- a/io/caller/dispatch.go
+++ b/io/caller/dispatch.go
@@ -109,7 +109,7 @@
 func (s *Server) whole(ctx context.Context, x *Exchange) (*answer, error) {
 	// got is the latest whole answer, be it a failure.
 	var got *answer
-	err := s.attempts(ctx, x, func(ctx context.Context, slot *traffic.Slot, ask traffic.Ask, run *isolation.Run) (traffic.Result, error) {
+	err := s.attempts(ctx, x, func(ctx context.Context, slot *traffic.Slot, ask traffic.SlotRequest, run *isolation.Run) (traffic.Result, error) {
 		ctx, st := s.watchStall(ctx, x, slot, ask)
 		defer st.end()
 		resp, err := s.send(ctx, x, slot, "")
@@ -158,7 +158,7 @@
 	r.Check = func() error {
 		if !begun {
 			// What is on its way goes on: to cut it off would leave unknown what became of it.
-			if err := s.Dispatcher.MaySend(slot); err != nil {
+			if err := s.Dispatcher.CheckSend(slot); err != nil {
 				return err
 			}
 			begun = true
--- a/io/caller/stall.go
+++ b/io/caller/stall.go
@@ -43,11 +43,11 @@
 }
 
 // watchStall bounds the silence of an attempt. The context ends with it.
-func (s *Server) watchStall(ctx context.Context, x *Exchange, slot *traffic.Slot, ask traffic.Ask) (context.Context, *stall) {
+func (s *Server) watchStall(ctx context.Context, x *Exchange, slot *traffic.Slot, ask traffic.SlotRequest) (context.Context, *stall) {
 	ctx, cancel := context.WithCancel(ctx)
 	st := &stall{cancel: cancel}
 	t := &x.Target
-	if t.OnceOnly || t.Objective <= 0 || slot.Others == 0 || x.Trail.Sent+1 >= t.attempts() {
+	if t.OnceOnly || t.Objective <= 0 || slot.OtherEndpoints == 0 || x.Trail.Sent+1 >= t.attempts() {
 		return ctx, st
 	}
 	first := scale(t.Objective, wholePatience)
--- a/io/caller/stream.go
+++ b/io/caller/stream.go
@@ -62,7 +62,7 @@
 // stream relays a stream and moves it to another endpoint when one breaks off.
 func (s *Server) stream(ctx context.Context, x *Exchange) error {
 	r := &relay{x: x, flush: http.NewResponseController(x.W), buf: make([]byte, relayBuffer), events: s.protocol().Events(x), s: s}
-	err := s.attempts(ctx, x, func(ctx context.Context, slot *traffic.Slot, ask traffic.Ask, run *isolation.Run) (traffic.Result, error) {
+	err := s.attempts(ctx, x, func(ctx context.Context, slot *traffic.Slot, ask traffic.SlotRequest, run *isolation.Run) (traffic.Result, error) {
 		whole := ctx
 		ctx, st := s.watchStall(ctx, x, slot, ask)
 		// Closing the connection ends the run there before another one begins.
@@ -201,7 +201,7 @@
 		}
 		r.stall.progress()
 		if r.slot != nil {
-			r.slot.Began()
+			r.slot.PromptRead()
 			r.slot = nil
 		}
 		r.time(now)
