--- a/io/caller/attempts.go
+++ b/io/caller/attempts.go
@@ -13,44 +13,45 @@
 	"olivetiller/io/endpoint"
 )
 
-// try sends the request to the endpoint of a slot, which the ask got, and tells the run when
-// the endpoint begins and whether it answered well.
-type try func(ctx context.Context, slot *traffic.Slot, ask traffic.SlotRequest, run *isolation.Run) (traffic.Result, error)
+// try sends the request to the endpoint of slot, which was acquired with req, and reports to run when the endpoint
+// starts and how it answers. The result goes back to the dispatcher when the slot is released.
+type try func(ctx context.Context, slot *traffic.Slot, req traffic.SlotRequest, run *isolation.Run) (traffic.Result, error)
 
 // tries counts the attempts of a request.
 type tries struct {
-	// sent counts all of them, ran those that may have run.
+	// sent counts all attempts, ran those that may have run at an endpoint.
 	sent, ran int
 }
 
-// attempts tries endpoints until one answers, or what is known forbids another attempt.
+// attempts calls do with one slot after another until an endpoint answers or no further attempt is allowed.
 func (s *Server) attempts(ctx context.Context, x *Exchange, do try) error {
-	ask := newAsk(x)
-	defer x.dropNext()
+	req := newSlotRequest(x)
+	defer x.releaseReserved()
 	defer func() {
 		if x.trial {
-			// It may have found no place.
+			// The trial may have ended without an attempt, because no slot was found.
 			s.Isolation.TrialOver(x.Fingerprint)
 		}
 	}()
 	var n tries
 	for {
-		slot, turnOver, err := s.nextPlace(ctx, x, &ask)
+		slot, unlock, err := s.nextSlot(ctx, x, &req)
 		if err != nil {
 			if n.ran == 0 {
 				return err
 			}
-			// An earlier attempt may have run: that no place is left is no promise.
-			return s.endOf(endStep(x), x, err)
+			// An earlier attempt may have run, so the refusal for the missing slot, which promises the opposite, must
+			// not be returned as it is.
+			return s.refusalFor(finalStep(x), x, err)
 		}
-		s.noteSlot(x, slot)
+		s.recordSlot(x, slot)
 		n.sent++
 		run := s.Isolation.Send(x.Fingerprint, slot.Endpoint)
-		result, err := do(ctx, slot, ask, run)
-		result.Ended = settleRun(ctx, run, err)
-		turnOver(err == nil)
+		result, err := do(ctx, slot, req, run)
+		result.Ended = reportRun(ctx, run, err)
+		unlock(err == nil)
 		slot.Release(result)
-		s.noteAttempt(x, slot, n.sent, err)
+		s.logAttempt(x, slot, n.sent, err)
 		if err == nil {
 			return nil
 		}
@@ -63,19 +64,20 @@
 			Late: s.Clock.Now().After(x.Deadline), Left: ctx.Err() != nil, Held: s.Isolation.State(x.Fingerprint) == quarantine.Quarantined,
 		})
 		if step != retry.Repeat {
-			return s.endOf(step, x, err)
+			return s.refusalFor(step, x, err)
 		}
-		ask.Resend = withheld(err)
+		req.Resend = withheld(err)
 		s.Metrics.Retries.Add(outcome.String(), 1)
-		ask.Avoid = append(ask.Avoid, slot.Endpoint.Name)
-		ask.Retry = outcome != retry.NotSent || x.Target.Budget != ""
+		req.Avoid = append(req.Avoid, slot.Endpoint.Name)
+		req.Retry = outcome != retry.NotSent || x.Target.Budget != ""
 		if outcome == retry.NotSent && !result.Full {
-			s.Clock.Sleep(unsentPause)
+			s.Clock.Sleep(notStartedPause)
 		}
 	}
 }
 
-func newAsk(x *Exchange) traffic.SlotRequest {
+// newSlotRequest returns the slot request for the first attempt of an exchange.
+func newSlotRequest(x *Exchange) traffic.SlotRequest {
 	return traffic.SlotRequest{
 		Caller: x.Caller.GetName(), Deadline: x.Deadline, Bytes: int64(len(x.Body)), Cost: x.Target.Cost,
 		Budget: x.Target.Budget, Objective: x.Target.Objective, Affinity: x.Target.Affinity,
@@ -83,11 +85,12 @@
 	}
 }
 
-// nextPlace waits for a place of the next attempt, unless the request is kept from engines: else one that
-// ends engines is sent at every node for ever, 30 times in 15 tries at 3 nodes where it is 4 now.
-// It is asked again once the place is there: the wait may have been long. The function returned
-// is to be called when the attempt is over, with whether an endpoint has answered it.
-func (s *Server) nextPlace(ctx context.Context, x *Exchange, ask *traffic.SlotRequest) (slot *traffic.Slot, turnOver func(well bool), err error) {
+// nextSlot waits for the slot of the next attempt and, for a request in isolation, for the lock under which one copy
+// runs at a time. It refuses a request that is quarantined: otherwise a request that crashes its engines would be
+// sent by every node again and again (30 times in 15 attempts at 3 nodes, compared with 4 with the check). The state
+// is checked again once the slot is granted, since the wait may have been long. The caller must call unlock when the
+// attempt is over, with whether an endpoint answered it.
+func (s *Server) nextSlot(ctx context.Context, x *Exchange, req *traffic.SlotRequest) (slot *traffic.Slot, unlock func(well bool), err error) {
 	if !x.trial {
 		trial, err := s.Isolation.Admit(ctx, x.Fingerprint)
 		if err != nil {
@@ -95,30 +98,29 @@
 		}
 		x.trial = trial
 	}
-	ask.AbandonAt, ask.State = s.leaves(x), s.Isolation.State(x.Fingerprint)
-	slot, err = s.place(ctx, x, *ask)
+	req.AbandonAt, req.State = s.abandonAt(x), s.Isolation.State(x.Fingerprint)
+	slot, err = s.acquireSlot(ctx, x, *req)
 	if err != nil {
 		return nil, nil, err
 	}
-	turnOver = func(bool) {}
+	unlock = func(bool) {}
 	if !x.trial {
-		turnOver, err = s.Isolation.Turn(ctx, x.Fingerprint)
+		unlock, err = s.Isolation.Turn(ctx, x.Fingerprint)
 	}
 	if err == nil {
-		if err = x.good(); err != nil {
-			turnOver(true)
+		if err = x.checkKey(); err != nil {
+			unlock(true)
 		}
 	}
 	if err != nil {
 		slot.Release(traffic.Result{NotStarted: true, Running: -1})
 		return nil, nil, err
 	}
-	return slot, turnOver, nil
+	return slot, unlock, nil
 }
 
-// settleRun tells a run how its attempt ended, and reports whether the endpoint's process
-// has ended with it.
-func settleRun(ctx context.Context, run *isolation.Run, err error) (ended bool) {
+// reportRun reports to run how its attempt ended. It returns true if the endpoint's process terminated with it.
+func reportRun(ctx context.Context, run *isolation.Run, err error) (ended bool) {
 	var e *endpoint.Error
 	switch {
 	case err == nil:
@@ -127,6 +129,7 @@
 	case !errors.As(err, &e), errors.Is(e.Cause, errStalled):
 		run.Left()
 	case e.Refused, e.Answered:
+		// Whether the answer was a good one was reported when it was read.
 		run.Answered(false)
 	case e.Outcome == retry.NotSent:
 		run.NotSent()
@@ -138,27 +141,25 @@
 	return false
 }
 
-// place returns the place of the next attempt: the one that it has already, or one
-// that it waits for.
-func (s *Server) place(ctx context.Context, x *Exchange, ask traffic.SlotRequest) (*traffic.Slot, error) {
-	if slot := x.next; slot != nil {
-		x.next = nil
+// acquireSlot returns the slot that the stall watch has reserved for the next attempt, or else waits for one.
+func (s *Server) acquireSlot(ctx context.Context, x *Exchange, req traffic.SlotRequest) (*traffic.Slot, error) {
+	if slot := x.reserved; slot != nil {
+		x.reserved = nil
 		return slot, nil
 	}
-	return s.Dispatcher.Acquire(ctx, x.Target.Pool, ask)
+	return s.Dispatcher.Acquire(ctx, x.Target.Pool, req)
 }
 
-// dropNext gives a place back that no attempt follows to.
-func (x *Exchange) dropNext() {
-	if x.next != nil {
-		x.next.Release(traffic.Result{NotStarted: true, Running: -1})
-		x.next = nil
+// releaseReserved releases a reserved slot that no attempt will use.
+func (x *Exchange) releaseReserved() {
+	if x.reserved != nil {
+		x.reserved.Release(traffic.Result{NotStarted: true, Running: -1})
+		x.reserved = nil
 	}
 }
 
-// leaves is when the caller leaves if no event comes; zero where it stays until its
-// deadline.
-func (s *Server) leaves(x *Exchange) time.Time {
+// abandonAt returns when the caller gives up if it receives no event; zero if it waits until its deadline.
+func (s *Server) abandonAt(x *Exchange) time.Time {
 	switch {
 	case x.Target.Patience <= 0:
 		return time.Time{}
@@ -168,27 +169,28 @@
 	return x.Start.Add(x.Target.Patience)
 }
 
-// noteAttempt logs what became of one attempt.
-func (s *Server) noteAttempt(x *Exchange, slot *traffic.Slot, n int, err error) {
-	x.Trail.Sent, x.Trail.Endpoint = n, slot.Endpoint.Name
+// logAttempt records an attempt in the exchange and logs it if it failed. n is the number of the attempt, from 1.
+func (s *Server) logAttempt(x *Exchange, slot *traffic.Slot, n int, err error) {
+	x.Progress.Sent, x.Progress.Endpoint = n, slot.Endpoint.Name
 	if err == nil {
 		return
 	}
 	s.Logger.Info("attempt failed", "requestId", x.ID, "fingerprint", x.Fingerprint.String(), "attempt", n, "endpoint", slot.Endpoint.Name, "address", slot.Endpoint.Address,
 		"pool", x.Target.Pool, "waitedMs", slot.Waited.Milliseconds(), "outcome", outcomeOf(err).String(),
-		"heldMs", s.Clock.Now().Sub(slot.GrantedAt()).Milliseconds(), "events", x.Trail.Events, "sends", sendsOf(err), "error", err.Error())
+		"heldMs", s.Clock.Now().Sub(slot.GrantedAt()).Milliseconds(), "events", x.Progress.Events, "sends", sendsOf(err), "error", err.Error())
 }
 
-// endStep is how a request ends of which an attempt may have run.
-func endStep(x *Exchange) retry.Step {
+// finalStep returns how a request ends that may have run and gets no further attempt.
+func finalStep(x *Exchange) retry.Step {
 	return retry.Next(retry.Attempt{Outcome: retry.MaybeRun, OnceOnly: x.Target.OnceOnly, Ran: 1, Attempts: 1})
 }
 
-// endOf turns the last failure into a refusal that says the truth about running.
-func (s *Server) endOf(step retry.Step, x *Exchange, err error) error {
+// refusalFor converts the error of the last attempt to the refusal for the given step, whose kind says whether the
+// request may have run.
+func (s *Server) refusalFor(step retry.Step, x *Exchange, err error) error {
 	switch step {
 	case retry.TimedOut:
-		return refusal.New(refusal.TimedOut, "%s did not answer in time: %v", x.Trail.Endpoint, err)
+		return refusal.New(refusal.TimedOut, "%s did not answer in time: %v", x.Progress.Endpoint, err)
 	case retry.NotBegun:
 		return refusal.New(refusal.NoEndpoint, "no endpoint of %s took the request: %v", x.Target.Pool, err)
 	case retry.Withheld:
@@ -197,11 +199,12 @@
 		}
 		return refusal.New(refusal.NoEndpoint, "no endpoint of %s took the request: %v", x.Target.Pool, err)
 	case retry.Unknown:
-		return refusal.New(refusal.OutcomeUnknown, "the endpoint was sent the request: %v", err)
+		return refusal.New(refusal.OutcomeUnknown, "the request was sent and its outcome is unknown: %v", err)
 	}
 	return refusal.New(refusal.EndpointFailed, "endpoints of %s failed: %v", x.Target.Pool, err)
 }
 
+// outcomeOf returns the outcome of a failed attempt; MaybeRun for an error of unknown origin.
 func outcomeOf(err error) retry.Outcome {
 	var e *endpoint.Error
 	if errors.As(err, &e) {
@@ -210,7 +213,7 @@
 	return retry.MaybeRun
 }
 
-// sendsOf returns how often the transport sent the request in an attempt that failed.
+// sendsOf returns how often the transport began to write the request of a failed attempt.
 func sendsOf(err error) int {
 	var e *endpoint.Error
 	if errors.As(err, &e) {
@@ -219,25 +222,26 @@
 	return 0
 }
 
-// withheld reports whether nothing of an attempt was sent, because its check forbade it.
+// withheld reports whether nothing of the request was sent because its check failed.
 func withheld(err error) bool {
 	var e *endpoint.Error
 	return errors.As(err, &e) && e.Withheld
 }
 
-func failed(err error) traffic.Result {
+// failedResult converts the error of an attempt to its result for the dispatcher.
+func failedResult(err error) traffic.Result {
 	r := traffic.Result{Err: err, Running: -1}
 	var e *endpoint.Error
 	if errors.As(err, &e) {
 		r.Full, r.Missing, r.Leaving = e.Full, e.Missing, e.Gone
 		if e.Withheld {
-			// It says nothing of the endpoint.
+			// The request was withheld on this side, which says nothing about the endpoint.
 			r.Err, r.NotStarted = nil, true
 			return r
 		}
 		r.Silent = e.Unreached || errors.Is(e.Cause, errStalled)
 		if e.Outcome == retry.NotSent && e.Refused {
-			// The endpoint is well; it only did not begin this request.
+			// The endpoint is healthy and only refused to start this request.
 			r.Err = nil
 			r.NotStarted = true
 		}
@@ -245,15 +249,16 @@
 	return r
 }
 
-func (s *Server) noteSlot(x *Exchange, slot *traffic.Slot) {
-	x.Trail.Waited += slot.Waited
-	x.Trail.Cold = x.Trail.Cold || slot.Cold
+// recordSlot records the wait for a slot in the exchange and the metrics.
+func (s *Server) recordSlot(x *Exchange, slot *traffic.Slot) {
+	x.Progress.Waited += slot.Waited
+	x.Progress.Cold = x.Progress.Cold || slot.Cold
 	if slot.Cold {
 		s.Metrics.ColdStart.Record(slot.Waited.Milliseconds())
 	}
 	if !slot.Expected.IsZero() {
 		missed := s.Clock.Now().Sub(slot.Expected)
-		x.Trail.Expected = slot.Waited - missed
+		x.Progress.Expected = slot.Waited - missed
 		s.Metrics.ForecastError.Record(missed.Abs().Milliseconds())
 	}
 	s.Metrics.Wait.Record(slot.Waited.Milliseconds())
--- a/io/caller/caller_test.go
+++ b/io/caller/caller_test.go
@@ -26,7 +26,7 @@
 // tokenDigest is the SHA-256 of the token "t".
 const tokenDigest = "e3b98a4da31a127d4bde6e43033f66ba274cab0eb7eb1c70ec41402bf6273dd8"
 
-// testServer serves one model without a replica, one banned and one service.
+// testServer returns a server with one model without a replica, one banned model and one service.
 func testServer(ready bool) *Server {
 	v := []*pb.Version{{Name: "v1", WeightBytes: 1}}
 	cfg := catalog.New(&pb.Config{
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestRefusals sends what a caller may get wrong and expects the kind, the truth
-// about running, and a remedy.
+// TestRefusals sends invalid requests and requests that cannot be served, and checks the kind of the refusal, its
+// statement that the request has not run, and that it names a remedy.
 func TestRefusals(t *testing.T) {
 	const chat = "/v1/chat/completions"
 	tests := []struct {
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestEveryKindHasARemedy checks the table of refusals.
+// TestEveryKindHasARemedy checks that each kind of refusal has an error status and a remedy.
 func TestEveryKindHasARemedy(t *testing.T) {
 	for _, k := range refusal.Kinds() {
 		if e := refusal.New(k, "x"); e.Remedy() == "" || e.Status() < 400 {
@@ -115,9 +115,8 @@
 	}
 }
 
-// TestCloseWhileStarting closes a server in the moment in which it begins to serve;
-// the race detector watches. Found by TestFedBeforeRead under -race in .ci/run beside
-// a hunt and the soak: Close read what Serve was setting.
+// TestCloseWhileStarting closes a server while it starts to serve. Without initOnce, Close read fields that Serve was
+// setting, which the race detector reported.
 func TestCloseWhileStarting(t *testing.T) {
 	for range 20 {
 		s := testServer(true)
--- a/io/caller/charge.go
+++ b/io/caller/charge.go
@@ -9,16 +9,17 @@
 	"olivetiller/core/refusal"
 )
 
-// Limiter keeps the limits of customers over all nodes.
+// Limiter enforces the rate limits of customers over all nodes.
 type Limiter interface {
-	// Charge charges a request, or says why not.
+	// Charge charges need units to the customer and decides whether the request may run.
 	Charge(ctx context.Context, of *customer.Customer, need float64) quota.Decision
-	// GiveBack takes back what was charged at a moment to a request that has not run.
+	// GiveBack refunds an amount that was charged to the named customer at the given time, for a request that did not
+	// run.
 	GiveBack(name string, amount float64, charged time.Time)
 }
 
-// charge charges the request to its customer before it takes any place, so that what is
-// over a limit costs the others nothing. What has certainly not run is given back.
+// charge charges the request to its customer's rate limit before it acquires a slot, so that requests over the limit
+// cost other customers nothing. The charge is refunded if the request certainly did not run.
 func (s *Server) charge(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) error {
 		if x.Customer == nil || s.Limiter == nil || !x.Customer.Limit.Limited() {
@@ -37,13 +38,13 @@
 	}
 }
 
-// overLimit returns the refusal that a decision means, or nil.
+// overLimit converts a decision to a refusal, or nil if the request may run.
 func overLimit(c *customer.Customer, need float64, d quota.Decision) error {
 	switch d.Step {
 	case quota.Pass:
 		return nil
 	case quota.Over:
-		return refusal.New(refusal.RateExceeded, "customer %s may use %g a second over all nodes; this request counts %g", c.Name, c.Limit.Rate, need).After(max(time.Millisecond, d.After))
+		return refusal.New(refusal.RateExceeded, "customer %s is limited to %g a second over all nodes; this request costs %g", c.Name, c.Limit.Rate, need).After(max(time.Millisecond, d.After))
 	}
-	return refusal.New(refusal.LimitUnknown, "this node does not know what is left of the limit of customer %s", c.Name).After(d.After)
+	return refusal.New(refusal.LimitUnknown, "this node does not know how much of the limit of customer %s is left", c.Name).After(d.After)
 }
--- a/io/caller/deadline.go
+++ b/io/caller/deadline.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// unreadTime is how long a caller may leave what it is sent unread: callers give a stream up after a gap of two seconds
-// or more, and endpoints cut off answers that nobody reads for some seconds.
-const unreadTime = 4 * time.Second
+// writeTimeout is how long a caller may leave written data unread. Callers themselves give up a stream after a gap of
+// 2 s or more, and endpoints close connections whose answers are not read for some seconds.
+const writeTimeout = 4 * time.Second
 
-// readWithin bounds the time in which the rest of a request must come; 0 lifts the bound.
-func readWithin(w http.ResponseWriter, d time.Duration) {
-	// Writers of tests have no deadlines.
-	_ = http.NewResponseController(w).SetReadDeadline(after(d))
+// setReadTimeout limits the time until the rest of the request must have arrived; 0 removes the limit.
+func setReadTimeout(w http.ResponseWriter, d time.Duration) {
+	// Response writers in tests support no deadlines, so the error is ignored.
+	_ = http.NewResponseController(w).SetReadDeadline(deadlineAfter(d))
 }
 
-// writeWithin bounds the time in which the caller must take what is written next; 0 lifts the bound.
-func writeWithin(c *http.ResponseController, d time.Duration) {
-	_ = c.SetWriteDeadline(after(d))
+// setWriteTimeout limits the time until the caller must have read what is written next; 0 removes the limit.
+func setWriteTimeout(c *http.ResponseController, d time.Duration) {
+	_ = c.SetWriteDeadline(deadlineAfter(d))
 }
 
-// after returns the moment in the kernel's time at which something is over.
-func after(d time.Duration) time.Time {
+// deadlineAfter returns the deadline d from now by the system clock, as net.Conn takes it; zero if d is not positive.
+func deadlineAfter(d time.Duration) time.Time {
 	if d <= 0 {
 		return time.Time{}
 	}
--- a/io/caller/dispatch.go
+++ b/io/caller/dispatch.go
@@ -21,37 +21,38 @@
 const (
 	// maxAttempts bounds the attempts that may have run.
 	maxAttempts = 3
-	// unsentPause is the pause after an endpoint did not begin for another
-	// reason than want of room, for which its gate closes.
-	unsentPause = 5 * time.Millisecond
+	// notStartedPause is the pause before the next attempt after an endpoint did not start the request for another
+	// reason than missing capacity. (For that one, the dispatcher closes the endpoint's window.)
+	notStartedPause = 5 * time.Millisecond
 )
 
-// dispatch sends the request to an endpoint and its answer back.
+// dispatch sends the request to an endpoint and its answer to the caller. It is the last handler of each chain.
 func (s *Server) dispatch(ctx context.Context, x *Exchange) error {
-	x.takeFingerprint()
+	x.setFingerprint()
 	switch {
 	case x.Target.OnceOnly && x.Target.Keyed:
 		return s.dispatchOnce(ctx, x)
 	case x.Target.Stream:
 		return s.stream(ctx, x)
 	}
-	a, err := s.whole(ctx, x)
+	a, err := s.fetchAnswer(ctx, x)
 	if err != nil {
+		// Refused before its key is claimed, so that the caller may use the key again.
 		return err
 	}
-	s.held.keep(int64(len(a.body)))
-	defer s.held.drop(int64(len(a.body)))
+	s.heldBytes.add(int64(len(a.body)))
+	defer s.heldBytes.remove(int64(len(a.body)))
 	return writeAnswer(x, s.protocol(), a)
 }
 
-// answer is a whole answer of an endpoint.
+// answer is a complete answer of an endpoint.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// dispatchOnce runs a request that may not be repeated.
+// dispatchOnce runs a request at most once per request key and returns the stored answer to a repeat of it.
 func (s *Server) dispatchOnce(ctx context.Context, x *Exchange) error {
 	if err := s.Isolation.Held(x.Fingerprint); err != nil {
 		// Before its key is claimed.
@@ -62,7 +63,7 @@
 		return err
 	}
 	kept, err := s.Once.Do(ctx, key, x.Digest, x.Deadline, func(ctx context.Context) (*once.Answer, error) {
-		a, err := s.whole(ctx, x)
+		a, err := s.fetchAnswer(ctx, x)
 		if err != nil {
 			return nil, err
 		}
@@ -78,12 +79,13 @@
 	return writeAnswer(x, s.protocol(), &answer{status: kept.Status, header: h, body: kept.Body})
 }
 
-// takeFingerprint hashes the request once, whose body has been read.
-func (x *Exchange) takeFingerprint() {
+// setFingerprint sets the digest and fingerprint of a request whose body has been read.
+func (x *Exchange) setFingerprint() {
 	caller := x.Caller.GetName()
 	switch {
 	case x.Customer != nil:
-		// Not the key: a request that ends engines would come as another one under each key.
+		// The customer's name and not its key, since a request that crashes engines would otherwise count as a
+		// different one under each key.
 		caller = x.Customer.Name
 	case caller == "":
 		caller = x.R.Header.Get("Authorization")
@@ -92,57 +94,59 @@
 	x.Fingerprint = quarantine.FingerprintOf(caller, x.Digest)
 }
 
+// writeAnswer writes a complete answer to the caller.
 func writeAnswer(x *Exchange, p Protocol, a *answer) error {
 	p.Head(x.W.Header(), a.header)
 	x.Began = true
-	x.Trail.Status = a.status
-	// The connection's next request lifts the bound: net/http sends the end of the answer after this.
-	writeWithin(http.NewResponseController(x.W), unreadTime)
+	x.Progress.Status = a.status
+	// The next request on the connection resets the timeout. It cannot be reset here, because net/http flushes the
+	// end of the answer after the handler returns.
+	setWriteTimeout(http.NewResponseController(x.W), writeTimeout)
 	x.W.WriteHeader(a.status)
-	// A failed write means that the caller is gone; there is nobody to tell.
+	// A write fails only if the caller has disconnected, so nobody can be told.
 	_, _ = x.W.Write(a.body)
 	return nil
 }
 
-// whole gets a whole answer, from another endpoint if the first one fails and
-// the request allows it.
-func (s *Server) whole(ctx context.Context, x *Exchange) (*answer, error) {
-	// got is the latest whole answer, be it a failure.
+// fetchAnswer reads a complete answer from an endpoint, or from another one if the first fails and the request may be
+// repeated.
+func (s *Server) fetchAnswer(ctx context.Context, x *Exchange) (*answer, error) {
+	// got is the latest complete answer, including one with a failure status.
 	var got *answer
-	err := s.attempts(ctx, x, func(ctx context.Context, slot *traffic.Slot, ask traffic.SlotRequest, run *isolation.Run) (traffic.Result, error) {
-		ctx, st := s.watchStall(ctx, x, slot, ask)
+	err := s.attempts(ctx, x, func(ctx context.Context, slot *traffic.Slot, req traffic.SlotRequest, run *isolation.Run) (traffic.Result, error) {
+		ctx, st := s.watchStall(ctx, x, slot, req)
 		defer st.end()
 		resp, err := s.send(ctx, x, slot, "")
-		if err = st.explain(err); err != nil {
-			return failed(err), err
+		if err = st.withStallCause(err); err != nil {
+			return failedResult(err), err
 		}
 		defer resp.Body.Close()
 		run.Began()
 		body, err := io.ReadAll(io.LimitReader(resp.Body, s.Limits.AnswerBytes+1))
 		if err == nil && int64(len(body)) > s.Limits.AnswerBytes {
 			err := &endpoint.Error{Outcome: retry.Ran, Answered: true, Sends: resp.Sends, Cause: errors.New("the answer is longer than limits.answerBytes")}
-			return failed(err), err
+			return failedResult(err), err
 		}
 		if err != nil {
-			err = st.explain(resp.Broken(err))
-			return failed(err), err
+			err = st.withStallCause(resp.Broken(err))
+			return failedResult(err), err
 		}
 		got = &answer{status: resp.StatusCode, header: resp.Header, body: body}
 		if err := failedAnswer(x, got); err != nil {
-			return failed(err), err
+			return failedResult(err), err
 		}
 		run.Answered(got.status/100 == 2 && resp.Framed())
 		return traffic.Result{Running: resp.Running, Leaving: resp.Leaving}, nil
 	})
 	if got != nil {
-		// An endpoint's own failure tells the caller more than ours would.
+		// The endpoint's own failure answer tells the caller more than a refusal by this node.
 		return got, nil
 	}
 	return nil, err
 }
 
-// failedAnswer returns an error for an endpoint's failure that another endpoint
-// may do better.
+// failedAnswer returns an error if the answer's status is a server error and the request may be retried at another
+// endpoint.
 func failedAnswer(x *Exchange, a *answer) error {
 	if x.Target.OnceOnly || !x.Target.RetryFailures || a.status < http.StatusInternalServerError {
 		return nil
@@ -150,43 +154,43 @@
 	return &endpoint.Error{Outcome: retry.Ran, Answered: true, Cause: fmt.Errorf("status %d", a.status)}
 }
 
-// request builds the request to an endpoint, going on with a stream at a position.
+// request builds the request to the endpoint of a slot. position is where an interrupted stream resumes; "" for none.
 func (s *Server) request(x *Exchange, slot *traffic.Slot, position string) *endpoint.Request {
 	now := s.Clock.Now()
 	r := s.protocol().Request(x, slot.Endpoint, x.Deadline.Sub(now), position)
 	begun := false
 	r.Check = func() error {
 		if !begun {
-			// What is on its way goes on: to cut it off would leave unknown what became of it.
+			// Once the first bytes are out, the request is completed: aborting it would leave its outcome unknown.
 			if err := s.Dispatcher.CheckSend(slot); err != nil {
 				return err
 			}
 			begun = true
 		}
-		return s.mayLeave(x, now)
+		return s.checkSend(x, now)
 	}
 	return r
 }
 
-// staleSend is how old a request may be when its bytes leave: it tells the endpoint the time that was left
-// when it was made. The platform allows half a second.
-const staleSend = 400 * time.Millisecond
+// maxRequestAge is the largest age of a request when its bytes are written. The request tells the endpoint the time
+// that was left when it was built, and the platform tolerates an error of 500 ms.
+const maxRequestAge = 400 * time.Millisecond
 
-// Reasons why a request does not leave.
+// Reasons for which checkSend withholds a request.
 var (
-	errTooLate = errors.New("its deadline has passed")
-	errStale   = errors.New("the time left that it tells is too old")
+	errDeadlinePassed = errors.New("the request's deadline has passed")
+	errStaleTimeout   = errors.New("the remaining time that the request states is out of date")
 )
 
-// mayLeave returns why the bytes of a request that was made at a moment must not leave: between the
-// decision to send it and its bytes the machine may have slept.
-func (s *Server) mayLeave(x *Exchange, made time.Time) error {
+// checkSend returns why a request that was built at the given time must not be written any more, or nil. The machine
+// may have slept between the decision to send it and the write.
+func (s *Server) checkSend(x *Exchange, made time.Time) error {
 	now := s.Clock.Now()
 	switch {
 	case now.After(x.Deadline):
-		return errTooLate
-	case now.Sub(made) > staleSend:
-		return errStale
+		return errDeadlinePassed
+	case now.Sub(made) > maxRequestAge:
+		return errStaleTimeout
 	case x.trial:
 		return nil
 	}
--- a/io/caller/doc.go
+++ b/io/caller/doc.go
@@ -1,14 +1,15 @@
-// Package caller serves the callers, in the usual HTTP protocol of model
-// serving, and plain services beside it.
+// Package caller implements the HTTP servers for callers: an OpenAI-style interface for models and plain services, or
+// another protocol that implements [Protocol].
 //
-// The problem: every request is answered whole or refused in time, by its own
-// rules about repetition, with bounded memory, whatever the caller sends. The
-// model: a request is an [Exchange] that passes a chain of filters, each with
-// one job in a file of its own: identify the caller, bound its rate, read the
-// body, resolve what is asked for, and dispatch. A filter that refuses returns
-// a refusal; the outermost writes it as problem+json, exactly once.
+// Every request must be answered completely or refused before its deadline, must run no more often than its caller
+// allows, and must not use unbounded memory. A request is an [Exchange] that passes a chain of filters, each in a
+// file of its own: identify the caller, limit its rate, read the body, resolve the target, and dispatch. A filter
+// that refuses the request returns a *refusal.Error, and the outermost filter writes it, by default as
+// application/problem+json.
 //
-// Routes: POST /v1/chat/completions and /v1/completions, GET /v1/models, any
-// method on /services/{name}/{path}. Headers: see [HeaderTimeout] and the
-// constants beside it.
+// Dispatch acquires a slot from package traffic, sends the request through package endpoint, and retries at other
+// endpoints as package retry allows. [Server] is assembled by the node's main packages.
+//
+// The default routes are POST /v1/chat/completions and /v1/completions, GET /v1/models, and any method on
+// /services/{name}/{path}. [HeaderTimeout] and the constants beside it are the request headers.
 package caller
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -12,24 +12,24 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Headers of the callers' protocol.
+// Headers of the callers' default protocol.
 const (
-	// HeaderTimeout is how many milliseconds the caller allows for the answer
-	// to begin and, of a whole answer, to end.
+	// HeaderTimeout is how many milliseconds the caller allows until a streamed answer begins or any other answer is
+	// complete.
 	HeaderTimeout = "Olivetiller-Timeout-Ms"
-	// HeaderOnce says "true" of a request that may not be repeated.
+	// HeaderOnce is "true" on a request that must run at most once.
 	HeaderOnce = "Olivetiller-Once"
-	// HeaderRequestKey names a request that may not be repeated, a UUID version 7.
+	// HeaderRequestKey is the idempotency key of a request that must run at most once, a UUID version 7.
 	HeaderRequestKey = "Olivetiller-Request-Key"
-	// HeaderPriority is passed on to the engine.
+	// HeaderPriority is passed to the engine unchanged.
 	HeaderPriority = "Olivetiller-Priority"
-	// HeaderRequestID names the request in logs and refusals.
+	// HeaderRequestID is the request's id in logs and refusals; the server sets it on every answer.
 	HeaderRequestID = "Olivetiller-Request-Id"
-	// HeaderNotRun is "true" on a refusal of a request that did not run.
+	// HeaderNotRun is on refusals: "true" if the request certainly did not run, or "false".
 	HeaderNotRun = "Olivetiller-Not-Run"
 )
 
-// Exchange is one request on its way through the filters.
+// Exchange is one request and the state of its processing, as the filters fill it in.
 type Exchange struct {
 	W http.ResponseWriter
 	R *http.Request
@@ -37,118 +37,113 @@
 	ID string
 	// Start is when the request arrived.
 	Start time.Time
-	// View is the view that the request is judged by.
+	// View is the view at arrival, which all decisions on the request use.
 	View *view.View
 	// Caller is set by identify.
 	Caller *pb.Caller
-	// Customer is set by Accept where the request came with a key that is good.
+	// Customer is set by Protocol.Accept if the request has a valid key.
 	Customer *customer.Customer
-	// Keyed is true where the configuration has customers: keys stay here.
+	// Keyed is true if the configuration has customers. Their keys are not forwarded to endpoints then.
 	Keyed bool
-	// Good reports why the customer's key no longer is; nil where there is no key.
+	// Good checks the customer's key again and returns why it is no longer valid; nil if there is no key.
 	Good func() error
-	// Allowed is the time that the caller itself allows; 0 if it did not say.
+	// Allowed is the time that the caller allows for the answer; 0 if it did not say.
 	Allowed time.Duration
 	// Deadline is when the caller must have its answer or refusal.
 	Deadline time.Time
-	// BodyLimit bounds the body below the server's own limit; 0 for none.
+	// BodyLimit limits the body in bytes below Limits.BodyBytes; 0 for no further limit.
 	BodyLimit int64
-	// Body is set by readBody and bounded by the settings.
+	// Body is set by readBody.
 	Body []byte
-	// Digest names what is asked for, Fingerprint the same of this caller; dispatch sets
-	// both.
+	// Digest identifies what is requested, and Fingerprint that together with the caller. dispatch sets both.
 	Digest      quarantine.Digest
 	Fingerprint quarantine.Fingerprint
-	// Target is set by resolve.
+	// Target is set by the resolve filters or Protocol.Accept.
 	Target Target
-	// Began is true once something of an answer was written.
+	// Began is true once part of an answer was written to the caller.
 	Began bool
-	// Trail is what became of it so far, for logs.
-	Trail Trail
-	// trial is set where a quarantined request is being tried.
+	// Progress is what has happened to the request so far, for logs.
+	Progress Progress
+	// trial is true if this is the trial run of a quarantined request.
 	trial bool
-	// next is the place that the next attempt has already; a stall sets it before the
-	// attempt in progress ends.
-	next *traffic.Slot
+	// reserved is a slot already acquired for the next attempt. The stall watch sets it before it cancels the attempt
+	// in progress.
+	reserved *traffic.Slot
 }
 
-// good returns why the request's key is not good any more, or nil.
-func (x *Exchange) good() error {
+// checkKey returns why the customer's key is no longer valid, or nil.
+func (x *Exchange) checkKey() error {
 	if x.Good == nil {
 		return nil
 	}
 	return x.Good()
 }
 
-// Trail is a request's way so far.
-type Trail struct {
-	// Sent counts the attempts; Endpoint is that of the latest.
+// Progress is what has happened to a request so far.
+type Progress struct {
+	// Sent counts the attempts. Endpoint is the name of the latest attempt's endpoint.
 	Sent     int
 	Endpoint string
-	// Waited is the time spent waiting for places.
+	// Waited is the total time spent waiting for slots.
 	Waited time.Duration
-	// Cold is true when no endpoint was ready on arrival.
+	// Cold is true if an attempt found no endpoint ready on its arrival.
 	Cold bool
-	// Expected is how long the wait for the model was expected to be by the first
-	// forecast; 0 where there was none.
+	// Expected is how long the wait for the model was first predicted to be; 0 without a prediction.
 	Expected time.Duration
-	// Events counts the events of a stream that were passed on.
+	// Events counts the stream events forwarded to the caller.
 	Events int
-	// Status is what the endpoint answered; 0 for none.
+	// Status is the HTTP status that the endpoint answered; 0 for none.
 	Status int
-	// FirstEvent is the time to the first event of a stream, and LongestPause the
-	// longest between two of its events.
+	// FirstEvent is the time from arrival to the first event of a stream, and LongestPause the longest time between
+	// two events.
 	FirstEvent, LongestPause time.Duration
 }
 
-// Target is what a request is for.
+// Target is what a request is addressed to, and the rules for serving it.
 type Target struct {
-	// Pool names the unit or service.
+	// Pool is the dispatcher's pool name of the unit or service.
 	Pool string
-	// Host is the host that a request names where routes are found by it; "" elsewhere.
+	// Host is the host name of the request if the protocol routes by host; "" otherwise.
 	Host string
-	// Path is the path at the endpoint, with its query.
+	// Path is the path and query to send to the endpoint.
 	Path string
 	// Model is true for a request to an engine.
 	Model bool
 	// Stream is true when the answer is to be streamed token by token.
 	Stream bool
-	// OnceOnly requests run at most once.
+	// OnceOnly is true for requests that must run at most once.
 	OnceOnly bool
-	// Keyed requests carry the key under which a repeat gets the same answer.
+	// Keyed is true if a request that runs at most once has an idempotency key, under which a repeat gets the same
+	// answer.
 	Keyed bool
-	// RetryFailures allows another endpoint's answer in place of a failure.
+	// RetryFailures allows another attempt at another endpoint after an answer with a server error.
 	RetryFailures bool
-	// Attempts bounds the attempts that may have run; 0 takes maxAttempts.
+	// Attempts limits the attempts that may have run; 0 selects maxAttempts.
 	Attempts int
-	// Objective is the time from the start within which an answer is in time; 0
-	// for none.
+	// Objective is the latency objective from arrival; 0 for none.
 	Objective time.Duration
-	// Pause is the longest pause between two events of a stream that is in time; 0
-	// for none.
+	// Pause is the objective for the time between two events of a stream; 0 for none.
 	Pause time.Duration
-	// Patience is how long the caller of a stream waits for its first event; 0 where
-	// it stays until its deadline.
+	// Patience is how long the caller of a stream waits for the first event; 0 if it waits until its deadline.
 	Patience time.Duration
-	// Budget names the retry budget; "" takes that of the pool.
+	// Budget names the retry budget; "" selects that of the pool.
 	Budget string
-	// Affinity is equal for requests that share the beginning of their prompts; 0
-	// for none.
+	// Affinity is equal for requests whose prompts share a prefix; 0 for none.
 	Affinity uint64
-	// Route names what the request was matched by, and Version the configuration.
+	// Route names the route that matched, and Version the version of the configuration, for logs.
 	Route   string
 	Version int64
-	// Priority is the rank among requests; 0 is the most urgent.
+	// Priority is the priority of the request; 0 is the most urgent.
 	Priority int
-	// TokensIn is the length of the prompt and TokensOut the most that is made
-	// of it; 0 where the caller did not say, and Counted is false.
+	// TokensIn is the length of the prompt and TokensOut the maximum length of the answer, in tokens. Both are 0, and
+	// Counted is false, if the caller did not say.
 	TokensIn, TokensOut int
 	Counted             bool
-	// Cost is the share of an endpoint that the request takes; at least 1.
+	// Cost is the request's share of an endpoint, for fair queueing; at least 1.
 	Cost float64
 }
 
-// attempts is the bound on attempts that may have run.
+// attempts returns the limit of attempts that may have run.
 func (t *Target) attempts() int {
 	if t.Attempts > 0 {
 		return t.Attempts
@@ -156,7 +151,7 @@
 	return maxAttempts
 }
 
-// identity is what the request is addressed to, whatever configuration is in force.
+// identity returns what the request is addressed to, in a form that does not depend on the configuration.
 func (t *Target) identity() string {
 	if t.Host != "" {
 		return t.Host
@@ -164,13 +159,13 @@
 	return t.Pool
 }
 
-// Handler answers an exchange, or returns why it did not.
+// Handler processes an exchange. An error means that it was not answered; it is a *refusal.Error or becomes Internal.
 type Handler func(ctx context.Context, x *Exchange) error
 
-// Filter wraps a handler.
+// Filter wraps a handler with one step of the processing.
 type Filter func(next Handler) Handler
 
-// Chain joins filters; the first sees the request first.
+// Chain wraps h in filters; the first filter sees the request first.
 func Chain(h Handler, filters ...Filter) Handler {
 	for i := len(filters) - 1; i >= 0; i-- {
 		h = filters[i](h)
--- a/io/caller/held.go
+++ b/io/caller/held.go
@@ -6,26 +6,27 @@
 	"olivetiller/core/refusal"
 )
 
-// held counts the bytes of requests and answers that the node holds for callers and endpoints. Streams are not counted:
-// each holds a buffer of fixed size, and an endpoint whose caller reads slowly is not read meanwhile.
-type held struct {
+// heldBytes counts the bytes of request and answer bodies in memory. Streams are not counted: each has a buffer of
+// fixed size, and while its caller does not read, its endpoint is not read either.
+type heldBytes struct {
 	bytes atomic.Int64
-	// most is the bound from which on new requests are refused; 0 for none.
-	most int64
+	// limit is the number of bytes above which new requests are refused; 0 for no limit.
+	limit int64
 }
 
-// admit counts the body of a new request in, or says why not: requests in progress must not run out of memory.
-func (h *held) admit(n int64) error {
+// admit adds the body of a new request, or refuses it if that exceeds the limit, so that the requests in progress do
+// not run out of memory.
+func (h *heldBytes) admit(n int64) error {
 	now := h.bytes.Add(n)
-	if h.most <= 0 || now <= h.most {
+	if h.limit <= 0 || now <= h.limit {
 		return nil
 	}
 	h.bytes.Add(-n)
-	return refusal.New(refusal.QueueFull, "%d bytes are held for requests and answers here, %d at most", now-n, h.most)
+	return refusal.New(refusal.QueueFull, "%d bytes of requests and answers are in memory on this node; the limit is %d", now-n, h.limit)
 }
 
-// keep counts an answer in, which is delivered in any case.
-func (h *held) keep(n int64) { h.bytes.Add(n) }
+// add adds the body of an answer, which is never refused.
+func (h *heldBytes) add(n int64) { h.bytes.Add(n) }
 
-// drop counts bytes out.
-func (h *held) drop(n int64) { h.bytes.Add(-n) }
+// remove subtracts bytes that were added before.
+func (h *heldBytes) remove(n int64) { h.bytes.Add(-n) }
--- a/io/caller/held_test.go
+++ b/io/caller/held_test.go
@@ -14,10 +14,10 @@
 	"olivetiller/core/refusal"
 )
 
-// TestHeldBodiesAreBounded guards against requests whose bodies together take the node's memory.
+// TestHeldBodiesAreBounded guards against request bodies that together exhaust the node's memory.
 func TestHeldBodiesAreBounded(t *testing.T) {
 	s := testServer(true)
-	s.held.most = 250
+	s.heldBytes.limit = 250
 	inside, leave := make(chan struct{}), make(chan struct{})
 	h := s.readBody(func(_ context.Context, x *Exchange) error {
 		inside <- struct{}{}
@@ -43,12 +43,12 @@
 			t.Error(err)
 		}
 	}
-	if n := s.held.bytes.Load(); n != 0 {
+	if n := s.heldBytes.bytes.Load(); n != 0 {
 		t.Errorf("%d bytes held in the end", n)
 	}
 }
 
-// deadlineWriter notes the write deadline that is in force when something is written.
+// deadlineWriter counts the writes during which a write deadline is set.
 type deadlineWriter struct {
 	*httptest.ResponseRecorder
 	deadline time.Time
@@ -64,38 +64,38 @@
 	return w.ResponseRecorder.Write(b)
 }
 
-// TestUnreadAnswerEnds guards against a caller that never reads, and holds its connection, its answer and its endpoint's
-// place for good.
+// TestUnreadAnswerEnds guards against a caller that never reads and so holds its connection, its answer and its slot
+// at the endpoint forever.
 func TestUnreadAnswerEnds(t *testing.T) {
 	w := &deadlineWriter{ResponseRecorder: httptest.NewRecorder()}
 	s := testServer(true)
 	x := &Exchange{W: w, R: httptest.NewRequest(http.MethodPost, "/", nil)}
 	r := &relay{x: x, s: s, flush: http.NewResponseController(w), buf: make([]byte, relayBuffer), events: s.protocol().Events(x), stall: &stall{}}
 	for _, event := range []string{"data: 1\n\n", "data: 2\n\n"} {
-		r.held = copy(r.buf, event)
-		if err := r.pass(); err != nil {
+		r.buffered = copy(r.buf, event)
+		if err := r.writeEvents(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if !w.deadline.IsZero() {
-		t.Error("the bound of a write goes on between two events")
+		t.Error("the write deadline stays set between two events")
 	}
 	if err := writeAnswer(x, s.protocol(), &answer{status: http.StatusOK, body: []byte("whole")}); err != nil {
 		t.Fatal(err)
 	}
 	if w.bound != 3 {
-		t.Errorf("%d of 3 writes are bounded in time", w.bound)
+		t.Errorf("%d of 3 writes had a deadline", w.bound)
 	}
 }
 
-// TestSlowReadersHoldLittle checks that what is held for each of some hundreds of streams does not grow while their
-// callers read nothing: the endpoint is not read meanwhile.
+// TestSlowReadersHoldLittle guards against memory that grows with the streams of callers that read nothing: no more
+// than a buffer may be read ahead from each endpoint.
 func TestSlowReadersHoldLittle(t *testing.T) {
 	const streams = 300
 	s := testServer(true)
 	held := 0
 	for range streams {
-		// Nobody reads the other side.
+		// Nobody reads from the other end.
 		here, there := net.Pipe()
 		defer there.Close()
 		x := &Exchange{W: pipeWriter{httptest.NewRecorder(), here}, R: httptest.NewRequest(http.MethodPost, "/", nil)}
@@ -113,7 +113,7 @@
 	}
 }
 
-// pipeWriter is an answer whose reader is a pipe.
+// pipeWriter is a response writer that writes to a pipe.
 type pipeWriter struct {
 	*httptest.ResponseRecorder
 	net.Conn
@@ -121,7 +121,7 @@
 
 func (w pipeWriter) Write(b []byte) (int, error) { return w.Conn.Write(b) }
 
-// countingReader is an endpoint's stream without end.
+// countingReader is an endless stream that counts the bytes read from it.
 type countingReader struct {
 	read  int
 	begun chan struct{}
--- a/io/caller/hostile_test.go
+++ b/io/caller/hostile_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestHostileSenders writes what no good client would to a real connection and
-// expects a refusal, or the end of the connection, and a server that goes on.
+// TestHostileSenders sends malformed or incomplete HTTP requests over a real connection. Each must get an error
+// status or a closed connection, and the server must keep serving.
 func TestHostileSenders(t *testing.T) {
 	const auth = "Host: x\r\nAuthorization: Bearer t\r\n"
 	tests := []struct {
@@ -58,6 +58,6 @@
 	}
 	resp, err := http.Get("http://" + l.Addr().String() + "/healthz")
 	if err != nil || resp.StatusCode != http.StatusNoContent {
-		t.Errorf("afterwards: %v, %v", resp, err)
+		t.Errorf("health check afterwards: %v, %v", resp, err)
 	}
 }
--- a/io/caller/identify.go
+++ b/io/caller/identify.go
@@ -11,20 +11,21 @@
 	"olivetiller/core/refusal"
 )
 
-// ready refuses while the node does not know what has been decided.
+// ready refuses requests while the node has not read the current state, or its state differs from that of other
+// nodes.
 func (s *Server) ready(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) error {
 		if !x.View.Ready {
 			if x.View.Diverged {
 				return refusal.New(refusal.NotReady, "this node's state has diverged")
 			}
-			return refusal.New(refusal.NotReady, "this node is still reading what has been decided")
+			return refusal.New(refusal.NotReady, "this node has not read the current state yet")
 		}
 		return next(ctx, x)
 	}
 }
 
-// identify finds the caller by its bearer token.
+// identify sets the caller of the request by its bearer token.
 func (s *Server) identify(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) error {
 		token, ok := strings.CutPrefix(x.R.Header.Get("Authorization"), "Bearer ")
@@ -40,8 +41,7 @@
 	}
 }
 
-// deadline reads how long the caller allows, and keeps a margin of it for the
-// answer's way back.
+// deadline sets the deadline from the timeout header, less a margin for the transfer of the answer.
 func (s *Server) deadline(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) error {
 		allowed := s.Limits.DefaultTimeout
@@ -55,13 +55,13 @@
 			}
 			allowed = min(time.Duration(ms)*time.Millisecond, s.Limits.MaxTimeout)
 		}
-		x.Deadline = x.Start.Add(allowed - travelMargin(allowed))
+		x.Deadline = x.Start.Add(allowed - networkMargin(allowed))
 		return next(ctx, x)
 	}
 }
 
-// travelMargin is the part of the time allowed that is kept for the way back:
-// a twentieth, at most 100 ms.
-func travelMargin(allowed time.Duration) time.Duration {
+// networkMargin is the part of the allowed time that is reserved for the transfer of the answer: a twentieth, at most
+// 100 ms.
+func networkMargin(allowed time.Duration) time.Duration {
 	return min(allowed/20, 100*time.Millisecond)
 }
--- a/io/caller/limits.go
+++ b/io/caller/limits.go
@@ -11,12 +11,13 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// callerLimits holds the rate and concurrency of every caller at this node.
+// callerLimits enforces each caller's request rate and concurrency at this node.
 type callerLimits struct {
 	mu      sync.Mutex
 	callers map[string]*callerLimit
 }
 
+// callerLimit is the state of one caller.
 type callerLimit struct {
 	limiter *rate.Limiter
 	rate    float64
@@ -27,8 +28,8 @@
 	return &callerLimits{callers: make(map[string]*callerLimit)}
 }
 
-// enter counts a request in, or says why not.
-func (l *callerLimits) enter(c *pb.Caller, now time.Time) error {
+// acquire counts a request as running, or refuses it. release must follow if it succeeds.
+func (l *callerLimits) acquire(c *pb.Caller, now time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	cl := l.callers[c.GetName()]
@@ -41,15 +42,16 @@
 		cl.limiter = newLimiter(cl.rate)
 	}
 	if cl.running >= int(c.GetConcurrency()) {
-		return refusal.New(refusal.TooManyRequests, "%d requests of caller %s wait or run here", cl.running, c.GetName())
+		return refusal.New(refusal.TooManyRequests, "%d requests of caller %s are waiting or running on this node, its limit", cl.running, c.GetName())
 	}
 	if !cl.limiter.AllowN(now, 1) {
-		return refusal.New(refusal.RateExceeded, "caller %s may send %g requests a second here", c.GetName(), cl.rate)
+		return refusal.New(refusal.RateExceeded, "caller %s is limited to %g requests a second on this node", c.GetName(), cl.rate)
 	}
 	cl.running++
 	return nil
 }
 
+// newLimiter returns a token bucket with a burst of one second's requests, at least 1. A rate of 0 means no limit.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond == 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -57,19 +59,20 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-func (l *callerLimits) leave(c *pb.Caller) {
+// release counts a request as ended.
+func (l *callerLimits) release(c *pb.Caller) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.callers[c.GetName()].running--
 }
 
-// limit bounds the rate and concurrency of each caller.
+// limit enforces the rate and concurrency limits of each caller.
 func (s *Server) limit(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) error {
-		if err := s.callers.enter(x.Caller, s.Clock.Now()); err != nil {
+		if err := s.callers.acquire(x.Caller, s.Clock.Now()); err != nil {
 			return err
 		}
-		defer s.callers.leave(x.Caller)
+		defer s.callers.release(x.Caller)
 		return next(ctx, x)
 	}
 }
--- a/io/caller/listener.go
+++ b/io/caller/listener.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// limitedListener bounds the open connections: beyond the bound, new ones wait
-// in the kernel's queue, so that idle connections cannot use up the memory.
+// limitedListener limits the open connections. Further ones wait in the kernel's accept queue, so that idle
+// connections cannot exhaust the memory.
 type limitedListener struct {
 	net.Listener
 	slots chan struct{}
@@ -14,6 +14,7 @@
 	once  sync.Once
 }
 
+// limitListener limits l to n open connections; 0 for no limit.
 func limitListener(l net.Listener, n int) net.Listener {
 	if n <= 0 {
 		return l
@@ -42,6 +43,7 @@
 	return l.Listener.Close()
 }
 
+// limitedConn releases its place in the listener when it is closed.
 type limitedConn struct {
 	net.Conn
 	once    sync.Once
--- a/io/caller/metrics.go
+++ b/io/caller/metrics.go
@@ -6,22 +6,23 @@
 	"olivetiller/internal/metric"
 )
 
-// Metrics are the counters of the traffic side.
+// Metrics are the metrics of the caller-facing server.
 type Metrics struct {
+	// Answered counts answered requests, and Resumed streams that were continued at another endpoint.
 	Answered, Resumed expvar.Int
-	// Refused counts refusals by kind; Retries further attempts by outcome.
+	// Refused counts refusals by kind. Retries counts further attempts by the outcome of the attempt before.
 	Refused, Retries expvar.Map
-	// Wait is the time to a place at an endpoint; ColdStart the same for
-	// requests that found no replica ready.
+	// Histograms of times in milliseconds. Wait is the wait for a slot, and ColdStart the same for requests that
+	// found no endpoint ready.
 	Wait, ColdStart, FirstToken, BetweenTokens *metric.Histogram
-	// ForecastError is by how much the first forecast of a wait for a model was wrong.
+	// ForecastError is the difference between the first predicted and the actual wait for a model, in milliseconds.
 	ForecastError *metric.Histogram
-	// Signals counts the answers that changed what is believed of their endpoint, DamagedSignals those
-	// that were reported as unreadable.
+	// Signals counts the answers that changed the recorded signals of their endpoint, and DamagedSignals the signals
+	// that could not be parsed.
 	Signals, DamagedSignals expvar.Int
 }
 
-// NewMetrics returns metrics at zero.
+// NewMetrics returns metrics that are all zero.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		Wait: metric.NewHistogram(), ColdStart: metric.NewHistogram(),
@@ -33,7 +34,7 @@
 	return m
 }
 
-// Tree returns the metrics under their names.
+// Tree returns the metrics by their published names.
 func (m *Metrics) Tree() *expvar.Map {
 	t := new(expvar.Map).Init()
 	t.Set("answered", &m.Answered)
--- a/io/caller/protocol.go
+++ b/io/caller/protocol.go
@@ -10,43 +10,42 @@
 	"olivetiller/io/endpoint"
 )
 
-// Protocol is the form in which callers and endpoints speak. The filters, the
-// queues and the attempts are the same in all of them.
+// Protocol is a wire protocol between callers, this node and endpoints. Filters, queueing and retries are the same
+// for all protocols.
 type Protocol interface {
-	// Accept reads the head of a request into the exchange: its id, deadline and
-	// target. It is called by servers with a foreign protocol only.
+	// Accept reads the request's head and sets the exchange's id, deadline and target. The default protocol uses
+	// filters instead.
 	Accept(x *Exchange) error
-	// Refuse writes a refusal, or ends an answer that has begun so that it does
-	// not look whole.
+	// Refuse writes a refusal. If an answer has begun, it ends the answer in a way that the caller recognizes as
+	// incomplete.
 	Refuse(x *Exchange, e *refusal.Error)
-	// Request makes the request to an endpoint. left is the time until the
-	// deadline; position is where a broken stream goes on, "" at its beginning.
+	// Request builds the request to an endpoint. left is the time until the deadline. position is where an
+	// interrupted stream resumes; "" to start from the beginning.
 	Request(x *Exchange, ep view.Endpoint, left time.Duration, position string) *endpoint.Request
-	// Head copies what a caller gets to see of an answer's header.
+	// Head copies those headers of an endpoint's answer that the caller may see.
 	Head(dst, src http.Header)
-	// Events returns a reader for the events of one request's stream.
+	// Events returns the reader for the events of an exchange's stream.
 	Events(x *Exchange) EventReader
 }
 
-// EventReader follows one stream, over all its attempts.
+// EventReader tracks the events of one stream over all attempts.
 type EventReader interface {
-	// Note takes one whole event in and reports whether it is the last.
+	// Note records one complete event and reports whether it is the last of the stream.
 	Note(event []byte) (last bool)
-	// Position is where the stream goes on after the events noted; "" at its
-	// beginning.
+	// Position returns the position at which to resume the stream after the recorded events; "" for the beginning.
 	Position() string
-	// EndsWithBody is true where a stream is whole when its body is.
+	// EndsWithBody reports whether the stream is complete when its body ends, without a final event.
 	EndsWithBody() bool
 }
 
-// ownProtocol is the product's own interface.
-type ownProtocol struct{}
+// defaultProtocol is the protocol of this product, with problem+json refusals and token events.
+type defaultProtocol struct{}
 
-// Accept implements Protocol; the product's own filters do its work.
-func (ownProtocol) Accept(*Exchange) error { return nil }
+// Accept implements Protocol. It does nothing, since the filters identify, deadline and resolve do this.
+func (defaultProtocol) Accept(*Exchange) error { return nil }
 
 // Refuse implements Protocol.
-func (ownProtocol) Refuse(x *Exchange, e *refusal.Error) {
+func (defaultProtocol) Refuse(x *Exchange, e *refusal.Error) {
 	if x.Began {
 		writeErrorEvent(x, e)
 		return
@@ -55,7 +54,7 @@
 }
 
 // Request implements Protocol.
-func (ownProtocol) Request(x *Exchange, ep view.Endpoint, _ time.Duration, position string) *endpoint.Request {
+func (defaultProtocol) Request(x *Exchange, ep view.Endpoint, _ time.Duration, position string) *endpoint.Request {
 	r := &endpoint.Request{
 		Address: ep.Address, Method: x.R.Method, Path: x.Target.Path,
 		Header: forwarded(x), Body: x.Body, OnceOnly: x.Target.OnceOnly,
@@ -77,19 +76,20 @@
 }
 
 // Head implements Protocol.
-func (ownProtocol) Head(dst, src http.Header) {
+func (defaultProtocol) Head(dst, src http.Header) {
 	if t := src.Get("Content-Type"); t != "" {
 		dst.Set("Content-Type", t)
 	}
 }
 
 // Events implements Protocol.
-func (ownProtocol) Events(*Exchange) EventReader { return new(tokenEvents) }
+func (defaultProtocol) Events(*Exchange) EventReader { return new(tokenEvents) }
 
-// forwardedHeaders are the callers' headers that reach an endpoint. All others,
-// those of the engines' own protocol above all, stay here.
+// forwardedHeaders are the request headers that are forwarded to an endpoint. All others are dropped, above all those
+// of the engines' own protocol.
 var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", "Traceparent"}
 
+// forwarded returns the headers of the request to forward.
 func forwarded(x *Exchange) http.Header {
 	h := make(http.Header, len(forwardedHeaders)+4)
 	for _, name := range forwardedHeaders {
@@ -100,7 +100,7 @@
 	return h
 }
 
-// tokenEvents counts token events up to the final marker.
+// tokenEvents counts the token events of a stream up to its final marker.
 type tokenEvents struct{ tokens int }
 
 // Note implements EventReader.
@@ -122,5 +122,5 @@
 	return strconv.Itoa(t.tokens)
 }
 
-// EndsWithBody implements EventReader: the final marker ends the stream.
+// EndsWithBody implements EventReader. It returns false, since the final marker ends the stream.
 func (t *tokenEvents) EndsWithBody() bool { return false }
--- a/io/caller/refuse.go
+++ b/io/caller/refuse.go
@@ -10,7 +10,7 @@
 	"olivetiller/core/refusal"
 )
 
-// Problem is the body of a refusal, after RFC 9457.
+// Problem is the body of a refusal, in the format of RFC 9457.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -19,7 +19,7 @@
 	// NotRun is true only when the request certainly did not run.
 	NotRun bool   `json:"notRun"`
 	Remedy string `json:"remedy"`
-	// RetryAfterMs is when to come back; absent when that does not help.
+	// RetryAfterMs is when to repeat the request; absent if repeating does not help.
 	RetryAfterMs int64  `json:"retryAfterMs,omitempty"`
 	RequestID    string `json:"requestId"`
 }
@@ -27,6 +27,7 @@
 // problemType is the prefix of the type URIs.
 const problemType = "urn:olivetiller:refusal:"
 
+// problemOf returns the problem for a refusal of the request with the given id.
 func problemOf(e *refusal.Error, id string) Problem {
 	return Problem{
 		Type: problemType + string(e.Kind), Title: string(e.Kind), Status: e.Status(), Detail: e.Detail,
@@ -34,9 +35,9 @@
 	}
 }
 
-// refuse writes the refusals of all that comes after it, and accounts for the
-// request. A refusal after the answer began cannot change its head: it ends the
-// stream with an error event and without the final marker.
+// refuse writes the refusal that an inner handler returned, and logs and counts the end of the request. Once the
+// answer has begun, its status can no longer change, so the refusal ends the stream with an error event instead of
+// the final marker.
 func (s *Server) refuse(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) error {
 		err := next(ctx, x)
@@ -56,9 +57,9 @@
 	}
 }
 
-// logArgs is what every line about the end of a request says.
+// logArgs returns the log fields common to the ends of answered and refused requests.
 func (x *Exchange) logArgs() []any {
-	t := &x.Trail
+	t := &x.Progress
 	return []any{
 		"requestId", x.ID, "fingerprint", x.Fingerprint.String(), "customer", x.customerName(), "route", x.Target.Route, "version", x.Target.Version, "pool", x.Target.Pool, "attempts", t.Sent,
 		"endpoint", t.Endpoint, "status", t.Status, "cold", t.Cold, "waitedMs", t.Waited.Milliseconds(),
@@ -67,7 +68,7 @@
 	}
 }
 
-// customerName returns the name of the request's customer; "" where there is none.
+// customerName returns the name of the request's customer, or "".
 func (x *Exchange) customerName() string {
 	if x.Customer == nil {
 		return ""
@@ -75,6 +76,7 @@
 	return x.Customer.Name
 }
 
+// writeProblem writes a refusal as problem+json.
 func writeProblem(w http.ResponseWriter, e *refusal.Error, id string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
@@ -86,6 +88,7 @@
 	_ = json.NewEncoder(w).Encode(problemOf(e, id))
 }
 
+// writeErrorEvent writes a refusal as the last event of a stream.
 func writeErrorEvent(x *Exchange, e *refusal.Error) {
 	data, err := json.Marshal(problemOf(e, x.ID))
 	if err != nil {
--- a/io/caller/resolve.go
+++ b/io/caller/resolve.go
@@ -12,11 +12,11 @@
 	"olivetiller/core/view"
 )
 
-// readBody reads the body within its bounds of length and time. The time bound
-// is lifted afterwards: net/http would otherwise end the request with it.
+// readBody reads the body within the limits of size and time. It removes the time limit afterwards, since net/http
+// would otherwise end the request when it expires.
 func (s *Server) readBody(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) error {
-		readWithin(x.W, s.Limits.ReadTimeout)
+		setReadTimeout(x.W, s.Limits.ReadTimeout)
 		limit := s.Limits.BodyBytes
 		if x.BodyLimit > 0 {
 			limit = min(limit, x.BodyLimit)
@@ -30,28 +30,28 @@
 			return refusal.New(refusal.BadRequest, "the body could not be read: %v", err)
 		}
 		x.Body = body
-		readWithin(x.W, 0)
+		setReadTimeout(x.W, 0)
 		n := int64(len(body))
-		if err := s.held.admit(n); err != nil {
+		if err := s.heldBytes.admit(n); err != nil {
 			return err
 		}
-		defer s.held.drop(n)
+		defer s.heldBytes.remove(n)
 		return next(ctx, x)
 	}
 }
 
-// completion is the part of an OpenAI-style request that routing reads. The
-// body is passed on as it came.
+// completion is the part of an OpenAI-style request that is needed for routing. The body itself is forwarded
+// unchanged.
 type completion struct {
 	Model     string `json:"model"`
 	Stream    bool   `json:"stream"`
 	MaxTokens int    `json:"max_tokens"`
 }
 
-// costTokens is the length of an answer that costs one unit of fairness.
-const costTokens = 64
+// tokensPerCostUnit is the number of answer tokens that add 1 to the cost of a request.
+const tokensPerCostUnit = 64
 
-// resolveModel finds the unit that a completion is for.
+// resolveModel sets the target of a completion request from the model in its body.
 func (s *Server) resolveModel(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) error {
 		var c completion
@@ -69,13 +69,13 @@
 		}
 		x.Target = Target{
 			Pool: u.Name, Path: x.R.URL.Path, Model: true, Stream: c.Stream,
-			OnceOnly: onceAsked(x.R), Keyed: true, Cost: 1 + float64(c.MaxTokens)/costTokens,
+			OnceOnly: onceRequested(x.R), Keyed: true, Cost: 1 + float64(c.MaxTokens)/tokensPerCostUnit,
 		}
 		return next(ctx, x)
 	}
 }
 
-// resolveService finds the plain service that a call is for.
+// resolveService sets the target of a request to a plain service from its path.
 func (s *Server) resolveService(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) error {
 		name := x.R.PathValue("name")
@@ -87,9 +87,10 @@
 		if q := x.R.URL.RawQuery; q != "" {
 			path += "?" + q
 		}
-		x.Target = Target{Pool: view.ServicePool(name), Path: path, OnceOnly: svc.GetOnceOnly() || onceAsked(x.R), Keyed: true, Cost: 1}
+		x.Target = Target{Pool: view.ServicePool(name), Path: path, OnceOnly: svc.GetOnceOnly() || onceRequested(x.R), Keyed: true, Cost: 1}
 		return next(ctx, x)
 	}
 }
 
-func onceAsked(r *http.Request) bool { return strings.EqualFold(r.Header.Get(HeaderOnce), "true") }
+// onceRequested reports whether the caller asks that the request run at most once.
+func onceRequested(r *http.Request) bool { return strings.EqualFold(r.Header.Get(HeaderOnce), "true") }
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -24,22 +24,26 @@
 	"olivetiller/io/endpoint"
 )
 
-// Limits bound what callers may send.
+// Limits bound what callers may send and hold.
 type Limits struct {
-	BodyBytes, AnswerBytes     int64
-	HeaderBytes                int
+	// BodyBytes and AnswerBytes are the maximum sizes of a body and of an answer that is not streamed.
+	BodyBytes, AnswerBytes int64
+	// HeaderBytes is the maximum size of a request's head.
+	HeaderBytes int
+	// DefaultTimeout is the time allowed to a request without HeaderTimeout, and MaxTimeout the longest allowed time.
 	DefaultTimeout, MaxTimeout time.Duration
-	// ReadTimeout bounds the time a caller takes to send its head and body.
+	// ReadTimeout limits the time a caller takes to send the head, and again the body, of a request.
 	ReadTimeout time.Duration
-	// IdleTimeout bounds the life of an idle connection.
+	// IdleTimeout limits how long a connection stays open without a request.
 	IdleTimeout time.Duration
-	// HeldBytes bounds the bytes of requests that are held; 0 for no bound.
+	// HeldBytes limits the total bytes of request and answer bodies in memory; 0 for no limit.
 	HeldBytes int64
-	// Connections bounds the open connections.
+	// Connections limits the open connections; 0 for no limit.
 	Connections int
 }
 
-// Server answers callers.
+// Server serves callers over HTTP. The exported fields must be set before it is used, except where their comments
+// name a default.
 type Server struct {
 	Clock      clockwork.Clock
 	Logger     hclog.Logger
@@ -47,39 +51,39 @@
 	Dispatcher *traffic.Dispatcher
 	Endpoints  *endpoint.Client
 	Once       *once.Coordinator
-	// Isolation keeps requests that end engines from them; nil takes one of this node alone.
+	// Isolation keeps requests that crash engines away from them; nil selects a guard that exchanges nothing with
+	// other nodes.
 	Isolation *isolation.Guard
 	Metrics   *Metrics
-	// Limiter keeps customers' limits; nil for none.
+	// Limiter enforces customers' rate limits; nil for none.
 	Limiter Limiter
-	// View returns the view in force.
+	// View returns the current view.
 	View func() *view.View
-	// Stopping reports whether a planned stop has begun: answers then ask the
-	// balancer to close its connection.
+	// Stopping reports whether a planned shutdown has begun. Answers then ask the load balancer to close its
+	// connection.
 	Stopping func() bool
-	// TLS is set to serve over TLS.
+	// TLS configures TLS; nil to serve plain HTTP.
 	TLS *tls.Config
-	// Protocol is set to serve callers that speak another form than the
-	// product's own.
+	// Protocol replaces the default protocol of this product; nil selects the default.
 	Protocol Protocol
 
-	callers *callerLimits
-	held    held
-	// initOnce guards init: a server may be closed while it begins to serve.
+	callers   *callerLimits
+	heldBytes heldBytes
+	// initOnce guards init, since a server may be closed while it starts to serve.
 	initOnce sync.Once
-	// cutOff ends the contexts of all requests.
-	cutOff context.CancelFunc
-	http   *http.Server
-	active atomic.Int64
+	// cancelRequests cancels the contexts of all requests.
+	cancelRequests context.CancelFunc
+	http           *http.Server
+	active         atomic.Int64
 }
 
-// init makes the HTTP server. It has no ReadTimeout: that would end requests that
-// wait long for a model; readBody sets a deadline of its own.
+// init creates the HTTP server. It sets no http.Server.ReadTimeout, which would end requests that wait long for a
+// model; readBody sets a read deadline instead.
 func (s *Server) init() {
 	s.callers = newCallerLimits()
-	s.held.most = s.Limits.HeldBytes
-	base, cutOff := context.WithCancel(context.Background())
-	s.cutOff = cutOff
+	s.heldBytes.limit = s.Limits.HeldBytes
+	base, cancelRequests := context.WithCancel(context.Background())
+	s.cancelRequests = cancelRequests
 	s.http = &http.Server{
 		BaseContext:       func(net.Listener) context.Context { return base },
 		Handler:           s.Handler(),
@@ -91,7 +95,7 @@
 	}
 }
 
-// Serve answers callers on a listener until Shutdown.
+// Serve accepts callers' connections on l until Shutdown or Close. It always returns a non-nil error.
 func (s *Server) Serve(l net.Listener) error {
 	s.initOnce.Do(s.init)
 	l = limitListener(l, s.Limits.Connections)
@@ -101,29 +105,28 @@
 	return s.http.Serve(l)
 }
 
-// Active returns the requests in progress.
+// Active returns the number of requests in progress.
 func (s *Server) Active() int { return int(s.active.Load()) }
 
-// Shutdown closes the listener and waits until every request has ended.
+// Shutdown closes the listener and waits until every request has ended or ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.initOnce.Do(s.init)
 	return s.http.Shutdown(ctx)
 }
 
-// CutOff gives every request up that is in progress: those whose answer has not
-// begun are told so.
+// CutOff cancels all requests in progress. Those whose answer has not begun are refused.
 func (s *Server) CutOff() {
 	s.initOnce.Do(s.init)
-	s.cutOff()
+	s.cancelRequests()
 }
 
-// Close ends every connection at once.
+// Close closes every connection at once.
 func (s *Server) Close() error {
 	s.initOnce.Do(s.init)
 	return s.http.Close()
 }
 
-// Handler returns the routes.
+// Handler returns the handler for the server's routes.
 func (s *Server) Handler() http.Handler {
 	if s.callers == nil {
 		s.callers = newCallerLimits()
@@ -147,12 +150,12 @@
 	return mux
 }
 
-// serve makes an exchange of a request.
+// serve returns an HTTP handler that creates an exchange for each request and passes it to h.
 func (s *Server) serve(h Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.active.Add(1)
 		defer s.active.Add(-1)
-		writeWithin(http.NewResponseController(w), 0)
+		setWriteTimeout(http.NewResponseController(w), 0)
 		x := &Exchange{W: w, R: r, ID: requestID(), Start: s.Clock.Now(), View: s.View()}
 		if s.Protocol == nil {
 			w.Header().Set(HeaderRequestID, x.ID)
@@ -164,16 +167,15 @@
 	}
 }
 
-// protocol returns the form in which callers speak.
+// protocol returns the protocol in use.
 func (s *Server) protocol() Protocol {
 	if s.Protocol != nil {
 		return s.Protocol
 	}
-	return ownProtocol{}
+	return defaultProtocol{}
 }
 
-// accept lets a foreign protocol read the head, and bounds all that follows by
-// the deadline that it found.
+// accept lets the protocol read the request's head, and limits the rest of the processing to the deadline it set.
 func (s *Server) accept(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) error {
 		if err := s.protocol().Accept(x); err != nil {
@@ -185,11 +187,10 @@
 	}
 }
 
-// requestID returns a new name for a request; a caller's own is not trusted,
-// since names of two callers could clash.
+// requestID returns a new request id. A caller's own id is not used, since those of two callers could collide.
 func requestID() string { return uuid.NewString() }
 
-// health says whether the balancer may send requests here.
+// health answers a load balancer's health check: 204 if the node takes requests, 503 if not.
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
 	if !s.View().Ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -198,25 +199,28 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// notFound refuses a request that matches no route.
 func notFound(_ context.Context, x *Exchange) error {
 	return refusal.New(refusal.BadRequest, "there is no route %s %s", x.R.Method, x.R.URL.Path)
 }
 
-// modelEntry is one model in the list, in the OpenAI style.
+// modelEntry is one model in the list of models, in the OpenAI style.
 type modelEntry struct {
 	ID     string `json:"id"`
 	Object string `json:"object"`
 	// Base is the base model of an adapter.
 	Base string `json:"base,omitempty"`
-	// Loaded is true when a request would not meet a cold start here.
+	// Loaded is true if an endpoint has the model ready, so that a request needs no cold start.
 	Loaded bool `json:"loaded"`
 }
 
+// modelList is the answer of GET /v1/models.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
 }
 
+// listModels answers with the models that are not banned, in the order of names.
 func (s *Server) listModels(_ context.Context, x *Exchange) error {
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for name, u := range x.View.Catalog.Units {
--- a/io/caller/stall.go
+++ b/io/caller/stall.go
@@ -13,48 +13,47 @@
 	"olivetiller/io/endpoint"
 )
 
-// errStalled is the cause when an endpoint gave no sign for so long that another
-// one is asked instead.
-var errStalled = errors.New("the endpoint gave no sign for too long; another one is asked")
+// errStalled is the cause of an attempt that was canceled because its endpoint sent nothing for too long and another
+// one was chosen.
+var errStalled = errors.New("the endpoint sent nothing for too long; the request moved to another one")
 
-// Patience with a silent endpoint, as parts of what the route calls in time. An
-// engine under load pauses up to about its objective; beyond that, to go on with a
-// request elsewhere serves its caller better.
+// Factors from the objectives of a route to the time after which a silent endpoint counts as stalled. A loaded engine
+// may pause for about its objective; after longer silence the request is better served elsewhere.
 const (
-	wholePatience = 0.65
-	firstPatience = 2.0
-	pausePatience = 3.0
-	// leastPatience keeps short objectives from moving requests at every hiccup.
-	leastPatience = 150 * time.Millisecond
+	wholeAnswerStallFactor = 0.65
+	firstEventStallFactor  = 2.0
+	eventGapStallFactor    = 3.0
+	// minStallTimeout keeps requests with short objectives from moving at every short delay.
+	minStallTimeout = 150 * time.Millisecond
 )
 
-// stall ends an attempt at a silent endpoint when the request may be repeated and
-// another endpoint takes it. Until one does, the attempt goes on.
+// stall watches one attempt and cancels it if the endpoint is silent, the request may be repeated and another
+// endpoint has a free slot. Until there is one, the attempt continues.
 type stall struct {
 	cancel context.CancelFunc
-	// between is the patience between two signs, zero for none after the first.
-	between time.Duration
+	// gapTimeout is the stall timeout after the first event; 0 to stop watching then.
+	gapTimeout time.Duration
 
 	mu    sync.Mutex
 	timer clockwork.Timer
 	ended bool
-	// stalled is set once another endpoint has taken the request.
+	// stalled is set once a slot at another endpoint is reserved and the attempt canceled.
 	stalled bool
 }
 
-// watchStall bounds the silence of an attempt. The context ends with it.
-func (s *Server) watchStall(ctx context.Context, x *Exchange, slot *traffic.Slot, ask traffic.SlotRequest) (context.Context, *stall) {
+// watchStall starts the watch of an attempt. The returned context is canceled when the attempt stalls or ends.
+func (s *Server) watchStall(ctx context.Context, x *Exchange, slot *traffic.Slot, req traffic.SlotRequest) (context.Context, *stall) {
 	ctx, cancel := context.WithCancel(ctx)
 	st := &stall{cancel: cancel}
 	t := &x.Target
-	if t.OnceOnly || t.Objective <= 0 || slot.OtherEndpoints == 0 || x.Trail.Sent+1 >= t.attempts() {
+	if t.OnceOnly || t.Objective <= 0 || slot.OtherEndpoints == 0 || x.Progress.Sent+1 >= t.attempts() {
 		return ctx, st
 	}
-	first := scale(t.Objective, wholePatience)
+	first := stallTimeout(t.Objective, wholeAnswerStallFactor)
 	if t.Stream {
-		first = scale(t.Objective, firstPatience)
+		first = stallTimeout(t.Objective, firstEventStallFactor)
 		if t.Pause > 0 {
-			st.between = scale(t.Pause, pausePatience)
+			st.gapTimeout = stallTimeout(t.Pause, eventGapStallFactor)
 		}
 	}
 	st.mu.Lock()
@@ -65,36 +64,37 @@
 		if st.ended {
 			return
 		}
-		next, ok := s.Dispatcher.Switch(slot, ask)
+		reserved, ok := s.Dispatcher.Switch(slot, req)
 		if !ok {
-			// To give up here would leave the caller with nothing.
+			// No other endpoint has a slot. Canceling now would leave the caller with nothing.
 			st.timer.Reset(first)
 			return
 		}
-		x.next, st.stalled = next, true
+		x.reserved, st.stalled = reserved, true
 		cancel()
 	})
 	return ctx, st
 }
 
-func scale(d time.Duration, by float64) time.Duration {
-	return max(leastPatience, time.Duration(by*float64(d)))
+// stallTimeout returns the objective d times a factor, but at least minStallTimeout.
+func stallTimeout(d time.Duration, by float64) time.Duration {
+	return max(minStallTimeout, time.Duration(by*float64(d)))
 }
 
-// progress notes a sign of the endpoint.
+// progress records that the endpoint has sent something.
 func (st *stall) progress() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	switch {
 	case st.timer == nil:
-	case st.between > 0:
-		st.timer.Reset(st.between)
+	case st.gapTimeout > 0:
+		st.timer.Reset(st.gapTimeout)
 	default:
 		st.timer.Stop()
 	}
 }
 
-// end ends the attempt. After it, no other endpoint takes the request any more.
+// end ends the watch and the attempt. After it, the watch reserves no slot any more.
 func (st *stall) end() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -105,9 +105,8 @@
 	st.cancel()
 }
 
-// explain returns the error of an attempt, with the stall as its cause if it was
-// one.
-func (st *stall) explain(err error) error {
+// withStallCause returns the error of an attempt, with errStalled as its cause if it was canceled as stalled.
+func (st *stall) withStallCause(err error) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if err == nil || !st.stalled {
--- a/io/caller/stream.go
+++ b/io/caller/stream.go
@@ -14,113 +14,114 @@
 	"olivetiller/io/endpoint"
 )
 
-// Sizes of the relay.
 const (
+	// relayBuffer is the initial buffer of a stream, in bytes.
 	relayBuffer = 8 << 10
-	// maxEvent bounds one event of a stream.
+	// maxEvent is the maximum size of one event, and of an answer that is not a stream, in bytes.
 	maxEvent = 1 << 20
 )
 
 var eventEnd = []byte("\n\n")
 
-// Events of the product's own streams.
+// Events of the default protocol's streams.
 const (
 	dataPrefix = "data: "
 	doneMarker = "data: [DONE]"
 )
 
-// errBroken ends a stream that stopped before its last event.
-var errBroken = errors.New("the stream ended before its last event")
+// errTruncated is the error of a stream that ended before its last event.
+var errTruncated = errors.New("the stream ended before its last event")
 
-// relay passes whole events on and counts the tokens that the caller has. It
-// keeps one buffer for the stream, so that no token costs an allocation.
+// relay forwards the complete events of a stream and tracks the caller's position in it. It uses one buffer for the
+// whole stream, so that forwarding a token allocates nothing.
 type relay struct {
 	x     *Exchange
 	flush *http.ResponseController
 	buf   []byte
-	// held is how many bytes of buf belong to an event that is not whole yet.
-	held   int
-	events EventReader
-	// passed is how many events were passed on.
-	passed int
-	done   bool
-	// callerGone is set once nothing can be written to the caller.
+	// buffered is the number of bytes in buf, which belong to an event that is not complete yet.
+	buffered int
+	events   EventReader
+	// relayed counts the events forwarded.
+	relayed int
+	done    bool
+	// callerGone is set once a write to the caller has failed.
 	callerGone bool
-	// head is the header of the answer being relayed; spare a failure to be
-	// passed on if no other endpoint answers.
-	head  http.Header
-	spare *answer
-	// slot is the place of the attempt whose answer is being relayed.
+	// head is the header of the answer being forwarded. fallback is a failure answer to forward if no other endpoint
+	// answers.
+	head     http.Header
+	fallback *answer
+	// slot is the slot of the current attempt until its first event.
 	slot *traffic.Slot
-	// stall watches the attempt.
+	// stall is the stall watch of the current attempt.
 	stall *stall
 	s     *Server
-	// last is when the latest event was passed on, in the server's clock.
-	last int64
+	// lastEvent is when the latest event was forwarded, in Unix nanoseconds by the server's clock.
+	lastEvent int64
 }
 
-// stream relays a stream and moves it to another endpoint when one breaks off.
+// stream forwards a stream to the caller and resumes it at another endpoint if it breaks off.
 func (s *Server) stream(ctx context.Context, x *Exchange) error {
 	r := &relay{x: x, flush: http.NewResponseController(x.W), buf: make([]byte, relayBuffer), events: s.protocol().Events(x), s: s}
-	err := s.attempts(ctx, x, func(ctx context.Context, slot *traffic.Slot, ask traffic.SlotRequest, run *isolation.Run) (traffic.Result, error) {
-		whole := ctx
-		ctx, st := s.watchStall(ctx, x, slot, ask)
-		// Closing the connection ends the run there before another one begins.
+	err := s.attempts(ctx, x, func(ctx context.Context, slot *traffic.Slot, req traffic.SlotRequest, run *isolation.Run) (traffic.Result, error) {
+		callerCtx := ctx
+		ctx, st := s.watchStall(ctx, x, slot, req)
+		// Closing the connection ends the run at this endpoint before another one begins.
 		defer st.end()
 		r.stall = st
 		resp, err := s.send(ctx, x, slot, r.events.Position())
-		if err = st.explain(err); err != nil {
-			return failed(err), err
+		if err = st.withStallCause(err); err != nil {
+			return failedResult(err), err
 		}
 		defer resp.Body.Close()
 		run.Began()
 		result := traffic.Result{Running: resp.Running, Leaving: resp.Leaving}
 		if resp.StatusCode != http.StatusOK {
-			return r.passError(resp, result)
+			return r.relayError(resp, result)
 		}
-		if r.passed > 0 {
+		if r.relayed > 0 {
 			s.Metrics.Resumed.Add(1)
 		}
 		r.head, r.slot = resp.Header, slot
 		if err := r.copy(ctx, resp.Body); err != nil {
-			err = st.explain(resp.Broken(err))
-			if whole.Err() != nil || r.callerGone {
-				// The caller went away; that is no fault of the endpoint.
+			err = st.withStallCause(resp.Broken(err))
+			if callerCtx.Err() != nil || r.callerGone {
+				// The caller has disconnected, which is no failure of the endpoint.
 				run.Left()
 				return result, err
 			}
-			return failed(err), err
+			return failedResult(err), err
 		}
 		run.Answered(resp.Framed())
 		return result, nil
 	})
-	if err != nil && r.spare != nil && !x.Began {
-		return writeAnswer(x, s.protocol(), r.spare)
+	if err != nil && r.fallback != nil && !x.Began {
+		return writeAnswer(x, s.protocol(), r.fallback)
 	}
 	return err
 }
 
-// passError passes an answer that is not a stream on, if none has begun and no
-// other endpoint may be asked instead.
-func (r *relay) passError(resp *endpoint.Response, result traffic.Result) (traffic.Result, error) {
+// relayError forwards an answer that is not a stream, unless a stream has begun already or another endpoint may be
+// tried.
+func (r *relay) relayError(resp *endpoint.Response, result traffic.Result) (traffic.Result, error) {
 	if r.x.Began {
-		err := &endpoint.Error{Outcome: retry.Ran, Answered: true, Cause: errBroken}
-		return failed(err), err
+		err := &endpoint.Error{Outcome: retry.Ran, Answered: true, Cause: errTruncated}
+		return failedResult(err), err
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxEvent))
 	if err != nil {
 		err := resp.Broken(err)
-		return failed(err), err
+		return failedResult(err), err
 	}
 	a := &answer{status: resp.StatusCode, header: resp.Header, body: body}
 	if err := failedAnswer(r.x, a); err != nil {
-		r.spare = a
-		return failed(err), err
+		r.fallback = a
+		return failedResult(err), err
 	}
 	return result, writeAnswer(r.x, r.s.protocol(), a)
 }
 
-func (r *relay) begin() {
+// writeHead writes the head of the stream if it was not written yet.
+func (r *relay) writeHead() {
 	if r.x.Began {
 		return
 	}
@@ -129,25 +130,25 @@
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	r.s.protocol().Head(h, r.head)
-	r.x.Trail.Status = http.StatusOK
+	r.x.Progress.Status = http.StatusOK
 	r.x.W.WriteHeader(http.StatusOK)
 }
 
-// copy relays until the final marker. What is left of a broken event is dropped:
-// the endpoint that goes on sends that token again from its beginning.
+// copy forwards events until the stream is complete. It drops an incomplete event of an earlier attempt, since the
+// endpoint that resumes the stream sends that token again from its start.
 func (r *relay) copy(ctx context.Context, body io.Reader) error {
-	r.held = 0
+	r.buffered = 0
 	for !r.done {
-		if r.held == len(r.buf) {
-			if r.held >= maxEvent {
+		if r.buffered == len(r.buf) {
+			if r.buffered >= maxEvent {
 				return errors.New("an event of the stream is too long")
 			}
 			r.buf = append(r.buf, make([]byte, len(r.buf))...)
 		}
-		n, err := body.Read(r.buf[r.held:])
-		r.held += n
+		n, err := body.Read(r.buf[r.buffered:])
+		r.buffered += n
 		if n > 0 {
-			if werr := r.pass(); werr != nil {
+			if werr := r.writeEvents(); werr != nil {
 				return werr
 			}
 		}
@@ -155,26 +156,26 @@
 			if ctx.Err() != nil || !errors.Is(err, io.EOF) {
 				return err
 			}
-			if !r.events.EndsWithBody() || r.held > 0 {
-				return errBroken
+			if !r.events.EndsWithBody() || r.buffered > 0 {
+				return errTruncated
 			}
-			r.begin()
+			r.writeHead()
 			r.done = true
 		}
 	}
 	return nil
 }
 
-// pass writes the whole events in the buffer and keeps the rest.
-func (r *relay) pass() error {
-	end := bytes.LastIndex(r.buf[:r.held], eventEnd)
+// writeEvents writes the complete events in the buffer to the caller and keeps the rest.
+func (r *relay) writeEvents() error {
+	end := bytes.LastIndex(r.buf[:r.buffered], eventEnd)
 	if end < 0 {
 		return nil
 	}
 	end += len(eventEnd)
-	r.count(r.buf[:end])
-	writeWithin(r.flush, unreadTime)
-	r.begin()
+	r.countEvents(r.buf[:end])
+	setWriteTimeout(r.flush, writeTimeout)
+	r.writeHead()
 	if _, err := r.x.W.Write(r.buf[:end]); err != nil {
 		r.callerGone = true
 		return err
@@ -183,13 +184,13 @@
 		r.callerGone = true
 		return err
 	}
-	writeWithin(r.flush, 0)
-	r.held = copy(r.buf, r.buf[end:r.held])
+	setWriteTimeout(r.flush, 0)
+	r.buffered = copy(r.buf, r.buf[end:r.buffered])
 	return nil
 }
 
-// count notes the whole events.
-func (r *relay) count(events []byte) {
+// countEvents records the given complete events.
+func (r *relay) countEvents(events []byte) {
 	now := r.s.Clock.Now().UnixNano()
 	for len(events) > 0 {
 		end := bytes.Index(events, eventEnd)
@@ -204,21 +205,22 @@
 			r.slot.PromptRead()
 			r.slot = nil
 		}
-		r.time(now)
-		r.passed++
-		r.x.Trail.Events = r.passed
+		r.recordTiming(now)
+		r.relayed++
+		r.x.Progress.Events = r.relayed
 	}
 }
 
 const nanosPerMilli = 1e6
 
-func (r *relay) time(now int64) {
-	if r.passed == 0 {
-		r.x.Trail.FirstEvent = time.Duration(now - r.x.Start.UnixNano())
+// recordTiming records the time of an event since the start or the event before.
+func (r *relay) recordTiming(now int64) {
+	if r.relayed == 0 {
+		r.x.Progress.FirstEvent = time.Duration(now - r.x.Start.UnixNano())
 		r.s.Metrics.FirstToken.Record((now - r.x.Start.UnixNano()) / nanosPerMilli)
 	} else {
-		r.x.Trail.LongestPause = max(r.x.Trail.LongestPause, time.Duration(now-r.last))
-		r.s.Metrics.BetweenTokens.Record((now - r.last) / nanosPerMilli)
+		r.x.Progress.LongestPause = max(r.x.Progress.LongestPause, time.Duration(now-r.lastEvent))
+		r.s.Metrics.BetweenTokens.Record((now - r.lastEvent) / nanosPerMilli)
 	}
-	r.last = now
+	r.lastEvent = now
 }
