--- a/core/refusal/refusal.go
+++ b/core/refusal/refusal.go
@@ -1,10 +1,12 @@
-// Package refusal defines the typed errors that callers see.
+// Package refusal defines the errors with which callers are refused.
 //
-// The problem: a caller who is refused must know whether its request ran, what
-// to do about it and when to come back. The model: each [Kind] has one HTTP
-// status, one truth about running and one remedy; an [Error] adds what happened
-// to this request. A refusal with NotRun set is a promise: nothing was sent to
-// any endpoint on behalf of the request.
+// A refused caller must know whether its request ran, what to do about the refusal and when to repeat the request.
+// Each [Kind] has one HTTP status, one statement on whether the request ran, and one remedy; an [Error] adds the
+// details of the individual request. If [Error.NotRun] returns true, that is a promise: no endpoint started the
+// request, and the caller may safely repeat it.
+//
+// All packages that process requests return these errors; package caller and the platform's protocol write them to
+// the caller.
 package refusal
 
 import (
@@ -14,54 +16,85 @@
 	"time"
 )
 
-// Kind is the type of a refusal, in the form it has on the wire.
+// Kind is the type of a refusal. Its value is the name on the wire and in logs and metrics.
 type Kind string
 
-// The kinds.
+// The kinds of refusals. See Error.Remedy for what a caller can do about each.
 const (
-	BadRequest         Kind = "badRequest"
-	BodyTooLarge       Kind = "bodyTooLarge"
-	HeaderInvalid      Kind = "headerInvalid"
-	Unauthorized       Kind = "unauthorized"
-	KeysUnknown        Kind = "keysUnknown"
-	LimitUnknown       Kind = "limitUnknown"
-	UnknownModel       Kind = "unknownModel"
-	UnknownService     Kind = "unknownService"
-	ModelBanned        Kind = "modelBanned"
-	DeadlinePast       Kind = "deadlinePast"
+	// BadRequest means that the body or the path of the request is malformed.
+	BadRequest Kind = "badRequest"
+	// BodyTooLarge means that the body exceeds the size limit.
+	BodyTooLarge Kind = "bodyTooLarge"
+	// HeaderInvalid means that a header of the request is malformed.
+	HeaderInvalid Kind = "headerInvalid"
+	// Unauthorized means that the request has no valid token or key.
+	Unauthorized Kind = "unauthorized"
+	// KeysUnknown means that this node's configuration may be too old to tell whether the customer's key is valid.
+	KeysUnknown Kind = "keysUnknown"
+	// LimitUnknown means that this node does not know how much of the customer's rate limit is left.
+	LimitUnknown Kind = "limitUnknown"
+	// UnknownModel means that no model has the requested name.
+	UnknownModel Kind = "unknownModel"
+	// UnknownService means that no service has the requested name.
+	UnknownService Kind = "unknownService"
+	// ModelBanned means that operators have banned the model.
+	ModelBanned Kind = "modelBanned"
+	// DeadlinePast means that the timeout that the caller sent is not positive.
+	DeadlinePast Kind = "deadlinePast"
+	// CannotMakeDeadline means that no endpoint can serve the request before its deadline or before its caller gives up.
 	CannotMakeDeadline Kind = "cannotMakeDeadline"
-	QueueFull          Kind = "queueFull"
-	RateExceeded       Kind = "rateExceeded"
-	TooManyRequests    Kind = "tooManyRequests"
-	WaitedTooLong      Kind = "waitedTooLong"
-	NoEndpoint         Kind = "noEndpoint"
-	Stopping           Kind = "stopping"
-	NotReady           Kind = "notReady"
-	LogUnavailable     Kind = "logUnavailable"
-	KeyMissing         Kind = "keyMissing"
-	KeyInvalid         Kind = "keyInvalid"
-	KeyExpired         Kind = "keyExpired"
-	KeyReused          Kind = "keyReused"
-	AlreadyRan         Kind = "alreadyRan"
-	OutcomeUnknown     Kind = "outcomeUnknown"
-	StillRunning       Kind = "stillRunning"
-	EndpointFailed     Kind = "endpointFailed"
-	Quarantined        Kind = "quarantined"
-	TimedOut           Kind = "timedOut"
-	Internal           Kind = "internal"
+	// QueueFull means that this node holds too many waiting requests or too many bytes of bodies.
+	QueueFull Kind = "queueFull"
+	// RateExceeded means that the caller or customer has exceeded its rate limit.
+	RateExceeded Kind = "rateExceeded"
+	// TooManyRequests means that the caller has too many concurrent requests at this node.
+	TooManyRequests Kind = "tooManyRequests"
+	// WaitedTooLong means that no endpoint had room before the request's wait ended.
+	WaitedTooLong Kind = "waitedTooLong"
+	// NoEndpoint means that no endpoint may serve the request or started it, or the retry budget is used up.
+	NoEndpoint Kind = "noEndpoint"
+	// Stopping means that this node is shutting down.
+	Stopping Kind = "stopping"
+	// NotReady means that this node has not read the current state, or its state has diverged from other nodes'.
+	NotReady Kind = "notReady"
+	// LogUnavailable means that the decision log did not accept the claim of the request key in time.
+	LogUnavailable Kind = "logUnavailable"
+	// KeyMissing means that a request that must run at most once has no request key.
+	KeyMissing Kind = "keyMissing"
+	// KeyInvalid means that the request key is not a UUID version 7.
+	KeyInvalid Kind = "keyInvalid"
+	// KeyExpired means that the request key is older than the period for which keys are stored.
+	KeyExpired Kind = "keyExpired"
+	// KeyReused means that the request key was used for a different request before.
+	KeyReused Kind = "keyReused"
+	// AlreadyRan means that the request ran before, and its answer is no longer stored.
+	AlreadyRan Kind = "alreadyRan"
+	// OutcomeUnknown means that a request that must run at most once may have run.
+	OutcomeUnknown Kind = "outcomeUnknown"
+	// StillRunning means that a request with the same key is running.
+	StillRunning Kind = "stillRunning"
+	// EndpointFailed means that the endpoints that were tried failed, and the request may have run.
+	EndpointFailed Kind = "endpointFailed"
+	// Quarantined means that the request is withheld from engines because it is suspected of crashing them.
+	Quarantined Kind = "quarantined"
+	// TimedOut means that the deadline passed during an attempt.
+	TimedOut Kind = "timedOut"
+	// Internal marks an error that is not a refusal.
+	Internal Kind = "internal"
 )
 
-// rule is what all refusals of a kind have in common.
-type rule struct {
+// kindInfo holds the properties common to all refusals of a kind.
+type kindInfo struct {
 	status int
-	// notRun is false where the request may have run, or did.
+	// notRun is true if the request certainly did not run. It is false if the request ran or may have run.
 	notRun bool
 	remedy string
-	// retry is the default hint; 0 means that repeating does not help.
+	// retry is the default retry hint; 0 means that repeating does not help.
 	retry time.Duration
 }
 
-var rules = map[Kind]rule{
+// kinds holds the properties of every kind.
+var kinds = map[Kind]kindInfo{
 	BadRequest:         {http.StatusBadRequest, true, "correct the request body", 0},
 	BodyTooLarge:       {http.StatusRequestEntityTooLarge, true, "send a shorter body", 0},
 	HeaderInvalid:      {http.StatusBadRequest, true, "correct the header", 0},
@@ -94,49 +127,49 @@
 	Internal:           {http.StatusInternalServerError, false, "report the request id to the operators", 0},
 }
 
-// Error is one refusal.
+// Error is the refusal of one request.
 type Error struct {
 	Kind Kind
-	// Detail says what happened to this request; it holds no secret.
+	// Detail says what happened to this request. It is sent to the caller and must not contain secrets.
 	Detail string
-	// RetryAfter overrides the hint of the kind when positive.
+	// RetryAfter replaces the retry hint of the kind if it is positive.
 	RetryAfter time.Duration
 }
 
-// New returns a refusal of a kind.
+// New returns a refusal of the given kind, with a detail formatted as by fmt.Sprintf.
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After sets the retry hint and returns the refusal.
+// After sets the retry hint to d and returns e. If d is not positive, the hint of the kind applies.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// Error implements error.
+// Error implements error. The text has the kind, the detail and the remedy.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s; %s", e.Kind, e.Detail, e.Remedy())
 }
 
-// Status returns the HTTP status.
-func (e *Error) Status() int { return rules[e.Kind].status }
+// Status returns the HTTP status of the kind.
+func (e *Error) Status() int { return kinds[e.Kind].status }
 
-// NotRun reports whether the request certainly did not run.
-func (e *Error) NotRun() bool { return rules[e.Kind].notRun }
+// NotRun reports whether the request certainly did not run. If it returns false, the request may have run.
+func (e *Error) NotRun() bool { return kinds[e.Kind].notRun }
 
-// Remedy says what the caller can do.
-func (e *Error) Remedy() string { return rules[e.Kind].remedy }
+// Remedy returns what the caller can do, as a sentence fragment.
+func (e *Error) Remedy() string { return kinds[e.Kind].remedy }
 
-// Hint returns when to come back; 0 means that repeating does not help.
+// Hint returns after which time the caller may repeat the request; 0 means that repeating does not help.
 func (e *Error) Hint() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
-	return rules[e.Kind].retry
+	return kinds[e.Kind].retry
 }
 
-// As returns err as a refusal; anything else becomes Internal.
+// As returns the *Error in err's chain, or a refusal of kind Internal if there is none.
 func As(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -145,10 +178,10 @@
 	return New(Internal, "%v", err)
 }
 
-// Kinds returns every kind, for documentation and tests.
+// Kinds returns all kinds, in no particular order.
 func Kinds() []Kind {
-	out := make([]Kind, 0, len(rules))
-	for k := range rules {
+	out := make([]Kind, 0, len(kinds))
+	for k := range kinds {
 		out = append(out, k)
 	}
 	return out
