--- a/io/caller/dispatch.go
+++ b/io/caller/dispatch.go
@@ -128,7 +128,7 @@
 			return failedResult(err), err
 		}
 		if err != nil {
-			err = st.withStallCause(resp.Broken(err))
+			err = st.withStallCause(resp.BrokenError(err))
 			return failedResult(err), err
 		}
 		got = &answer{status: resp.StatusCode, header: resp.Header, body: body}
--- a/io/caller/stream.go
+++ b/io/caller/stream.go
@@ -83,7 +83,7 @@
 		}
 		r.head, r.slot = resp.Header, slot
 		if err := r.copy(ctx, resp.Body); err != nil {
-			err = st.withStallCause(resp.Broken(err))
+			err = st.withStallCause(resp.BrokenError(err))
 			if callerCtx.Err() != nil || r.callerGone {
 				// The caller has disconnected, which is no failure of the endpoint.
 				run.Left()
@@ -109,7 +109,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxEvent))
 	if err != nil {
-		err := resp.Broken(err)
+		err := resp.BrokenError(err)
 		return failedResult(err), err
 	}
 	a := &answer{status: resp.StatusCode, header: resp.Header, body: body}
--- a/io/endpoint/check.go
+++ b/io/endpoint/check.go
@@ -8,46 +8,46 @@
 	"sync"
 )
 
-// Check is asked right before the bytes of a request leave, and returns why they must not: what was
-// decided when the request was made may have come too late since, by a slow connection or because the
-// machine slept.
+// Check decides right before a request is written whether it may still be sent, and returns the reason if not.
+// Conditions that held when the request was built may have changed since, because connecting took long or the machine
+// slept.
 type Check func() error
 
-// WithheldError says that nothing of a request was written, because its check forbade it.
+// WithheldError is the error of a request of which nothing was written because its check failed.
 type WithheldError struct{ Cause error }
 
 // Error implements error.
 func (e *WithheldError) Error() string { return "not sent: " + e.Cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause, the error of the check.
 func (e *WithheldError) Unwrap() error { return e.Cause }
 
-// Withheld reports whether the cause of a context of WithCheck means that nothing of its request was
-// written.
+// Withheld reports whether err, the cause of a context from WithCheck, means that nothing of the request was written.
 func Withheld(err error) bool {
 	var e *WithheldError
 	return errors.As(err, &e)
 }
 
-// checkedConn is a connection that asks the check of the request in progress before each write.
+// checkedConn is a connection that calls the check of the current request before each write.
 type checkedConn struct {
 	net.Conn
 	mu    sync.Mutex
 	check Check
-	// forbidden is called once the check has forbidden a request.
-	forbidden func(error)
-	// wrote is set once something of the request was written.
+	// onForbidden is called with the error when the check fails.
+	onForbidden func(error)
+	// wrote is set once part of the request was written.
 	wrote bool
 }
 
-// begin sets the check of the next request; nil ends it.
-func (c *checkedConn) begin(check Check, forbidden func(error)) {
+// setCheck sets the check for the next request; nil for none.
+func (c *checkedConn) setCheck(check Check, onForbidden func(error)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.check, c.forbidden, c.wrote = check, forbidden, false
+	c.check, c.onForbidden, c.wrote = check, onForbidden, false
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. If the check fails it returns the check's error, as a *WithheldError if nothing of the
+// request was written yet.
 func (c *checkedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,7 +56,7 @@
 			if !c.wrote {
 				err = &WithheldError{err}
 			}
-			c.forbidden(err)
+			c.onForbidden(err)
 			return 0, err
 		}
 	}
@@ -64,11 +64,10 @@
 	return c.Conn.Write(b)
 }
 
-// DialFunc opens a connection.
+// DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// CheckedDial returns a function that opens connections on which requests under WithCheck are
-// checked.
+// CheckedDial returns a DialFunc whose connections run the checks of requests made under WithCheck.
 func CheckedDial(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -79,8 +78,9 @@
 	}
 }
 
-// WithCheck has a request checked right before its bytes leave, on connections of CheckedDial. Where the check
-// forbids it the context ends, so that no other connection is tried.
+// WithCheck returns a context for one HTTP request whose check runs before each write, on connections of CheckedDial.
+// If the check fails, the context is canceled with the error as its cause, so that net/http does not try another
+// connection.
 func WithCheck(ctx context.Context, check Check) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var conn *checkedConn
@@ -88,13 +88,13 @@
 		GotConn: func(info httptrace.GotConnInfo) {
 			if c, ok := info.Conn.(*checkedConn); ok {
 				conn = c
-				c.begin(check, cancel)
+				c.setCheck(check, cancel)
 			}
 		},
-		// WroteRequest comes before the last bytes are flushed.
+		// The check ends here and not in WroteRequest, which is called before the last bytes are flushed.
 		GotFirstResponseByte: func() {
 			if conn != nil {
-				conn.begin(nil, nil)
+				conn.setCheck(nil, nil)
 			}
 		},
 	})
--- a/io/endpoint/check_test.go
+++ b/io/endpoint/check_test.go
@@ -17,9 +17,9 @@
 	"olivetiller/core/retry"
 )
 
-// TestWithheld checks that a request whose check says no right before its bytes leave is not
-// written, on a new connection and on a kept one, and that nothing else is tried for it. A machine that slept
-// between the decision and the bytes would send what it may not any more.
+// TestWithheld checks that a request whose check fails is not written, on a new as on a reused connection, and is not
+// tried on another one. Without the check, a machine that slept between the decision and the write would send
+// requests that are no longer allowed.
 func TestWithheld(t *testing.T) {
 	var arrivals atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -54,7 +54,7 @@
 			if e != nil {
 				what = e.Outcome.String()
 				if !e.Withheld || !errors.Is(e, errLate) {
-					t.Errorf("once only %t: %v does not say that it was withheld, and why", once, e)
+					t.Errorf("once only %t: %v is not marked as withheld or lacks the check's error", once, e)
 				}
 			}
 			if arrivals.Load() > before {
@@ -69,9 +69,8 @@
 	}
 }
 
-// TestCheckIsAskedLast checks that the check is asked after the connection came about, however long
-// that took.
-func TestCheckIsAskedLast(t *testing.T) {
+// TestCheckRunsAfterDial checks that the check runs only after the connection was made, however long that takes.
+func TestCheckRunsAfterDial(t *testing.T) {
 	var dialed atomic.Bool
 	dial := CheckedDial(func(context.Context, string, string) (net.Conn, error) {
 		a, b := net.Pipe()
@@ -81,7 +80,7 @@
 	})
 	ctx, cancel := WithCheck(t.Context(), func() error {
 		if !dialed.Load() {
-			t.Error("asked before the connection came about")
+			t.Error("the check ran before the connection was made")
 		}
 		return errors.New("no")
 	})
--- a/io/endpoint/endpoint.go
+++ b/io/endpoint/endpoint.go
@@ -1,14 +1,14 @@
-// Package endpoint sends requests to engines and plain services and says what
-// is known when no whole answer comes back.
+// Package endpoint sends requests to engines and plain services, and determines what is known about a request that
+// got no complete answer.
 //
-// The problem: a request that may not be repeated must be written at most once,
-// and net/http repeats some requests by itself: those without a body, those
-// with an Idempotency-Key header, and those whose reused connection was closed
-// before the first byte of the answer, if the body can be had again. The model: all
-// that has net/http repeat a request is taken from it, and once-only requests go through a
-// transport that never reuses a connection.
-// The outcome is NotSent only when no connection was ever obtained or the
-// endpoint itself says that it did not begin.
+// A request that must run at most once must be written at most once, but net/http repeats some requests by itself:
+// those without a body, those with an Idempotency-Key header, and those whose body can be read again and whose reused
+// connection was closed before the first byte of the answer. [Client] therefore removes from every request what lets
+// net/http repeat it, and sends requests that must run at most once over a transport that never reuses a connection.
+//
+// An [Error] has the outcome retry.NotSent only if no connection was made, the request's [Check] withheld it, or the
+// endpoint itself said that it did not start the request. Package caller uses a Client for callers' requests; other
+// protocols than the default one pass a [Judge] and may use [CheckedDial] and [WithCheck] with their own transports.
 package endpoint
 
 import (
@@ -32,7 +32,8 @@
 	"olivetiller/core/signal"
 )
 
-// Headers of the engines' protocol.
+// Headers of the default engine protocol. HeaderNotRun ("true"), HeaderRunning (the engine's load, in running
+// requests) and HeaderLeaving ("true" while it drains) are on answers, the others on requests.
 const (
 	HeaderNotRun     = "Engine-Not-Run"
 	HeaderRunning    = "Engine-Running"
@@ -44,6 +45,7 @@
 	HeaderRequestKey = "Olivetiller-Request-Key"
 )
 
+// dialTimeout limits the time to connect to an endpoint.
 const dialTimeout = 2 * time.Second
 
 // Request is one request to an endpoint.
@@ -51,77 +53,79 @@
 	// Address is the endpoint's host and port.
 	Address string
 	Method  string
-	// Path begins with a slash and may hold a query.
+	// Path is the request target as written, with the query. It begins with a slash.
 	Path string
-	// Host is the host that the endpoint is told; "" takes the address.
+	// Host is the Host header; "" selects Address.
 	Host   string
 	Header http.Header
 	Body   []byte
-	// OnceOnly requests are written at most once.
+	// OnceOnly requests run at most once and are written to a new connection.
 	OnceOnly bool
-	// Check is asked right before the request's bytes leave; nil where nothing is to be asked.
+	// Check is called right before each write of the request and may withhold it; nil for no check.
 	Check Check
 }
 
-// Error is a dispatch without an answer.
+// Error is a request that got no answer, or none that counts as one.
 type Error struct {
+	// Outcome says whether the request may have run.
 	Outcome retry.Outcome
-	// Refused is true when the endpoint said that it did not begin.
+	// Refused is true when the endpoint said that it did not start the request.
 	Refused bool
-	// Full is true when the endpoint refused for want of room.
+	// Full is true when the endpoint refused the request because it has no capacity.
 	Full bool
-	// Missing is true when the engine does not hold what the request is for.
+	// Missing is true when the engine does not hold the model of the request.
 	Missing bool
-	// Unreached is true when no connection came about.
+	// Unreached is true when no connection was made.
 	Unreached bool
 	// Broke is true when the endpoint's side broke the connection.
 	Broke bool
-	// Withheld is true when the request's check forbade it.
+	// Withheld is true when Request.Check withheld the request before any of it was written.
 	Withheld bool
-	// Gone is true when the address belongs to another endpoint by now.
+	// Gone is true when another endpoint now has the address.
 	Gone bool
-	// Answered is true when the endpoint gave a whole answer that counts as a failure.
+	// Answered is true when the endpoint gave a complete answer that counts as a failure, such as a server error.
 	Answered bool
-	// Sends is how often the transport began to write the request; 0 where it never did.
+	// Sends counts the connections on which the transport began to write the request; 0 if none.
 	Sends int
-	// Said is what the endpoint's answer says of the endpoint itself.
+	// Said holds the signals in the endpoint's answer.
 	Said signal.Said
-	// Cause is what happened.
+	// Cause is the underlying error.
 	Cause error
 }
 
 // Error implements error.
 func (e *Error) Error() string { return e.Outcome.String() + ": " + e.Cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Response is an endpoint's answer; its body must be closed.
+// Response is an endpoint's answer. Its body must be closed.
 type Response struct {
 	*http.Response
-	// Running is the load that the endpoint reported; -1 if it did not.
+	// Running is the load that the endpoint reported, in running requests; -1 if it reported none.
 	Running int
-	// Leaving is true when the endpoint said that it takes no more work.
+	// Leaving is true when the endpoint said that it is draining.
 	Leaving bool
-	// Sends is how often the transport began to write the request.
+	// Sends counts the connections on which the transport began to write the request.
 	Sends int
-	// Said is what the answer says of the endpoint itself.
+	// Said holds the signals in the answer.
 	Said signal.Said
 }
 
-// Broken returns the error of an answer that did not come whole.
-func (r *Response) Broken(cause error) *Error {
-	return &Error{Outcome: retry.Ran, Broke: broke(cause), Sends: r.Sends, Cause: cause}
+// BrokenError returns the error for an answer whose body could not be read to its end because of cause.
+func (r *Response) BrokenError(cause error) *Error {
+	return &Error{Outcome: retry.Ran, Broke: brokenByPeer(cause), Sends: r.Sends, Cause: cause}
 }
 
-// Framed reports whether the answer's end is told, so that one cut short does not look whole.
+// Framed reports whether the end of the answer is marked, by a length or chunked encoding, so that a truncated answer
+// is recognized.
 func (r *Response) Framed() bool {
 	return r.ContentLength >= 0 || slices.Contains(r.TransferEncoding, "chunked")
 }
 
-// broke reports whether an error means that the other side broke the connection: not that this
-// side gave up, or that nothing came in time.
-func broke(err error) bool {
+// brokenByPeer reports whether err means that the other side broke the connection, as opposed to a cancellation on
+// this side or a timeout.
+func brokenByPeer(err error) bool {
 	var timeout net.Error
 	switch {
 	case errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
@@ -132,56 +136,57 @@
 	return true
 }
 
-// Verdict is what an answer's head says beside its status.
+// Verdict is what the head of an answer says apart from its status.
 type Verdict struct {
-	// NotBegun is true when the endpoint states that it did not begin the request.
+	// NotBegun is true when the endpoint says that it did not start the request.
 	NotBegun bool
 	// Full, Missing and Gone are as in Error.
 	Full, Missing, Gone bool
-	// Foreign answers belong to another request.
+	// Foreign is true when the answer belongs to another request.
 	Foreign bool
-	// Running is the load that the endpoint reported; -1 if it did not.
+	// Running is the load that the endpoint reported, in running requests; -1 if it reported none.
 	Running int
-	// Leaving is true when the endpoint said that it takes no more work.
+	// Leaving is true when the endpoint said that it is draining.
 	Leaving bool
-	// Said is what the answer says of the endpoint itself; nothing where it is another endpoint's.
+	// Said holds the signals in the answer; none if the answer is from another endpoint than the request was meant
+	// for.
 	Said signal.Said
 }
 
-// Judge reads a verdict from the head of an answer.
+// Judge reads a Verdict from the head of the answer to r.
 type Judge func(r *Request, resp *http.Response) Verdict
 
-// Options are what a client is made of.
+// Options configure a Client.
 type Options struct {
-	// Judge reads the answers; nil takes the product's own protocol.
+	// Judge reads the heads of answers; nil selects the default engine protocol.
 	Judge Judge
-	// Dialer opens connections; nil takes one with a time limit.
+	// Dialer opens connections; nil selects one with dialTimeout.
 	Dialer *net.Dialer
 }
 
-// CloseIdleConnections closes the connections that are kept and at rest: after a sleep of the machine
-// the other sides may have given them up.
+// CloseIdleConnections closes the idle connections in the pool. After the machine has slept, the other sides may have
+// dropped them.
 func (c *Client) CloseIdleConnections() { c.pooled.CloseIdleConnections() }
 
-// Client sends requests. It is safe for concurrent use.
+// Client sends requests to endpoints. It is safe for concurrent use.
 type Client struct {
-	judge  Judge
-	dialer *net.Dialer
-	pooled *http.Transport
-	once   *http.Transport
+	judge    Judge
+	dialer   *net.Dialer
+	pooled   *http.Transport
+	onceOnly *http.Transport
 }
 
-// NewClient returns a client of the product's own protocol.
+// NewClient returns a client for the default engine protocol.
 func NewClient() *Client { return NewClientWith(Options{}) }
 
-// NewClientWith returns a client.
+// NewClientWith returns a client with the given options.
 func NewClientWith(o Options) *Client {
 	dialer := o.Dialer
 	if dialer == nil {
 		dialer = &net.Dialer{Timeout: dialTimeout}
 	}
 	if o.Judge == nil {
-		o.Judge = judgeOwn
+		o.Judge = judgeDefault
 	}
 	return &Client{
 		judge:  o.Judge,
@@ -190,19 +195,20 @@
 			DialContext: CheckedDial(dialer.DialContext), MaxIdleConnsPerHost: 256,
 			IdleConnTimeout: time.Minute, DisableCompression: true,
 		},
-		once: &http.Transport{
+		onceOnly: &http.Transport{
 			DialContext: CheckedDial(dialer.DialContext), DisableKeepAlives: true, DisableCompression: true,
 		},
 	}
 }
 
-// Do sends a request and returns the answer's head, or an *Error.
+// Do sends a request and returns the head of the answer. The error is always an *Error.
 func (c *Client) Do(ctx context.Context, r *Request) (*Response, error) {
 	var sends atomic.Int32
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sends.Add(1) }}
 	cancel := func() {}
 	if r.Check != nil {
-		// On success it ends with the caller's context, since the body is read in it.
+		// On success the context must outlive Do, because the response body is read in it, so cancel is not called
+		// then; it ends with the caller's context.
 		ctx, cancel = WithCheck(ctx, r.Check)
 	}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), r.Method, "http://"+r.Address+"/", bytes.NewReader(r.Body))
@@ -210,7 +216,7 @@
 		cancel()
 		return nil, &Error{Outcome: retry.NotSent, Cause: eris.Wrap(err, "build request")}
 	}
-	// The path goes out byte for byte as it came.
+	// Opaque sends the path byte for byte as given.
 	req.URL.Opaque = r.Path
 	req.Header = r.Header
 	if r.Host != "" {
@@ -219,10 +225,10 @@
 	if len(r.Body) == 0 {
 		req.Body, req.ContentLength = nil, 0
 	}
-	makeUnrepeatable(req)
+	preventRepeats(req)
 	transport := c.pooled
 	if r.OnceOnly {
-		transport = c.once
+		transport = c.onceOnly
 	}
 	resp, err := transport.RoundTrip(req)
 	n := int(sends.Load())
@@ -231,9 +237,9 @@
 		if why := context.Cause(ctx); Withheld(why) {
 			return nil, &Error{Outcome: retry.NotSent, Withheld: true, Cause: why}
 		}
-		return nil, &Error{Outcome: outcomeOf(n > 0), Unreached: n == 0, Broke: n > 0 && ctx.Err() == nil && broke(err), Sends: n, Cause: err}
+		return nil, &Error{Outcome: outcomeOf(n > 0), Unreached: n == 0, Broke: n > 0 && ctx.Err() == nil && brokenByPeer(err), Sends: n, Cause: err}
 	}
-	answer, failure := c.answered(r, resp)
+	answer, failure := c.classify(r, resp)
 	if failure != nil {
 		cancel()
 		failure.Sends = n
@@ -243,29 +249,29 @@
 	return answer, nil
 }
 
-// Refuses opens a connection to an address, closes it, and reports whether it was refused: no
-// process listens there.
+// Refuses reports whether the address refuses TCP connections, so that no process listens there. It closes a
+// connection that is accepted without writing to it.
 func (c *Client) Refuses(ctx context.Context, address string) bool {
 	conn, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	// Nothing was written.
 	_ = conn.Close()
 	return false
 }
 
-// makeUnrepeatable takes from a request all that lets net/http repeat it: engines would end under
-// arrivals that no budget and no log knows of. Without it, two requests over a kept connection that
-// breaks are written three times, counted at the other side.
-func makeUnrepeatable(req *http.Request) {
+// preventRepeats removes everything from a request that lets net/http repeat it. Engines could otherwise crash under
+// repeated requests that no retry budget counts and no log shows: two requests over a reused connection that breaks
+// were written three times, as counted by the server.
+func preventRepeats(req *http.Request) {
 	req.GetBody = nil
-	if req.Body == nil && repeatedWithoutBody[req.Method] {
+	if req.Body == nil && repeatedMethods[req.Method] {
 		req.Body = io.NopCloser(emptyBody{})
 	}
-	for _, name := range repeatHeaders {
+	for _, name := range idempotencyHeaders {
 		if values, ok := req.Header[name]; ok {
-			// In any case the name is the same on the wire.
+			// net/http looks for the canonical spelling only. Header names are case-insensitive, so the lower-case
+			// one means the same to the endpoint.
 			req.Header = req.Header.Clone()
 			delete(req.Header, name)
 			req.Header[strings.ToLower(name)] = values
@@ -273,19 +279,19 @@
 	}
 }
 
-// repeatedWithoutBody are the methods that net/http repeats where a request has no body.
-var repeatedWithoutBody = map[string]bool{http.MethodGet: true, http.MethodHead: true, http.MethodOptions: true, http.MethodTrace: true}
+// repeatedMethods are the methods of which net/http repeats requests without a body.
+var repeatedMethods = map[string]bool{http.MethodGet: true, http.MethodHead: true, http.MethodOptions: true, http.MethodTrace: true}
 
-// repeatHeaders are the headers, as net/http looks for them, that have it repeat any request.
-var repeatHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
+// idempotencyHeaders are the headers, in canonical spelling, with which net/http repeats any request.
+var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// emptyBody is a body that is read to its end at once; unlike http.NoBody net/http does not know
-// that it could be had again.
+// emptyBody is an empty body. net/http does not know that it can be read again, unlike http.NoBody.
 type emptyBody struct{}
 
 // Read implements io.Reader.
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
+// outcomeOf returns the outcome of a request without an answer, depending on whether any of it may have been sent.
 func outcomeOf(sent bool) retry.Outcome {
 	if sent {
 		return retry.MaybeRun
@@ -293,22 +299,23 @@
 	return retry.NotSent
 }
 
-// errForeign is the cause when an answer belongs to another request: what became
-// of this one is not known.
-var errForeign = eris.New("the answer belongs to another request")
+// errMismatched is the cause of an error when the answer belongs to another request, so that the outcome of this one
+// is unknown.
+var errMismatched = eris.New("the answer belongs to another request")
 
-// maxReason bounds what is read of a refusal's text.
-const maxReason = 256
+// maxRefusalText is the number of bytes of a refusal's body that are put into the error.
+const maxRefusalText = 256
 
-// answered turns a refusal to begin into an error; anything else is an answer.
-func (c *Client) answered(req *Request, resp *http.Response) (*Response, *Error) {
+// classify returns an answer as a Response, or as an *Error if the endpoint did not start the request or the answer
+// belongs to another one.
+func (c *Client) classify(req *Request, resp *http.Response) (*Response, *Error) {
 	v := c.judge(req, resp)
 	switch {
 	case v.Foreign:
 		resp.Body.Close()
-		return nil, &Error{Outcome: retry.MaybeRun, Cause: errForeign}
+		return nil, &Error{Outcome: retry.MaybeRun, Cause: errMismatched}
 	case v.NotBegun:
-		text, err := io.ReadAll(io.LimitReader(resp.Body, maxReason))
+		text, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusalText))
 		if err != nil {
 			text = []byte(err.Error())
 		}
@@ -321,8 +328,8 @@
 	return &Response{Response: resp, Running: v.Running, Leaving: v.Leaving, Said: v.Said}, nil
 }
 
-// judgeOwn reads the product's own protocol.
-func judgeOwn(_ *Request, resp *http.Response) Verdict {
+// judgeDefault is the Judge of the default engine protocol.
+func judgeDefault(_ *Request, resp *http.Response) Verdict {
 	v := Verdict{
 		NotBegun: resp.Header.Get(HeaderNotRun) == "true", Full: resp.StatusCode == http.StatusTooManyRequests,
 		Running: -1, Leaving: resp.Header.Get(HeaderLeaving) == "true",
--- a/io/endpoint/endpoint_test.go
+++ b/io/endpoint/endpoint_test.go
@@ -15,13 +15,12 @@
 	"olivetiller/core/retry"
 )
 
-// requestBytes is the length up to which requests are cut; theirs is a few more.
+// requestBytes bounds the byte positions at which the requests of the test are cut; they are a few bytes longer.
 const requestBytes = 124
 
 const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Type: text/plain\r\n\r\nok"
 
-// serveEach listens on a free port until the test ends, and serves each connection on a goroutine of
-// its own.
+// serveEach listens on a free port until the test ends and calls serve for each connection on its own goroutine.
 func serveEach(t *testing.T, serve func(net.Conn)) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,9 +40,8 @@
 	return l
 }
 
-// cutServer reads up to readMost bytes of each request, then writes the first
-// writeMost bytes of the answer and cuts the connection. It counts the requests
-// of which any byte arrived.
+// cutServer reads up to readMost bytes of each request, writes the first writeMost bytes of the answer and closes the
+// connection. requests counts the requests of which any byte arrived.
 type cutServer struct {
 	l                   net.Listener
 	readMost, writeMost int
@@ -73,9 +71,8 @@
 	}
 }
 
-// TestOnceOnlyIsWrittenOnce cuts the connection at each byte of the exchange and
-// expects that at most one request was written, and that "not sent" is said
-// only where nothing arrived.
+// TestOnceOnlyIsWrittenOnce cuts the connection after each byte of the exchange. At most one request may be written,
+// and the outcome may be NotSent only if nothing arrived.
 func TestOnceOnlyIsWrittenOnce(t *testing.T) {
 	type cut struct {
 		name        string
@@ -95,12 +92,12 @@
 			_, err = io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err == nil {
-				t.Errorf("%s: a cut answer passed for a whole one", tc.name)
+				t.Errorf("%s: a truncated answer was returned as complete", tc.name)
 			}
 		}
 		var e *Error
 		if errors.As(err, &e) && e.Outcome == retry.NotSent {
-			t.Errorf("%s: it was called not sent", tc.name)
+			t.Errorf("%s: the outcome is NotSent", tc.name)
 		}
 		if n := s.requests.Load(); n > 1 {
 			t.Errorf("%s: written %d times", tc.name, n)
@@ -108,9 +105,8 @@
 	}
 }
 
-// TestNetHTTPRepeats shows the fault that the transport for once-only requests
-// prevents: on a reused connection that ends before an answer, net/http writes a
-// request with an Idempotency-Key again.
+// TestNetHTTPRepeats shows the behavior that the client prevents: on a reused connection that closes before the
+// answer, net/http writes a request with an Idempotency-Key again.
 func TestNetHTTPRepeats(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -161,7 +157,7 @@
 		return bare.RoundTrip(req)
 	})
 	if written != 3 {
-		t.Errorf("net/http wrote two requests %d times, want 3: the fault is gone", written)
+		t.Errorf("net/http wrote two requests %d times, want 3: net/http no longer repeats the request", written)
 	}
 	for _, once := range []bool{false, true} {
 		c := NewClient()
@@ -180,8 +176,8 @@
 	}
 }
 
-// TestNotSentMeansNotSent dials an address where nobody listens.
-func TestNotSentMeansNotSent(t *testing.T) {
+// TestRefusedConnectionIsNotSent checks that a request to an address where nobody listens has the outcome NotSent.
+func TestRefusedConnectionIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -195,8 +191,8 @@
 	}
 }
 
-// keptServer answers the first request of each connection and closes the connection when
-// the next one has come. It counts the requests.
+// keptServer answers the first request of each connection and closes the connection when the second one arrives.
+// requests counts the requests.
 type keptServer struct {
 	l        net.Listener
 	requests atomic.Int64
@@ -225,10 +221,9 @@
 	}
 }
 
-// TestNoHiddenRepeat checks that a request which may be repeated is written once by one
-// attempt. A kept connection that breaks before the first byte of the answer lets net/http
-// write a request without a body again by itself: engines ended under arrivals that no
-// counter, budget or log knew of. What settled it was this count: 3 arrivals of 2 requests.
+// TestNoHiddenRepeat checks that an attempt writes a request once. When a reused connection breaks before the first
+// byte of the answer, net/http by itself writes a request without a body again (3 arrivals of 2 requests), so that
+// engines crashed under arrivals that no counter, budget or log showed.
 func TestNoHiddenRepeat(t *testing.T) {
 	tests := []struct {
 		name, method string
