--- a/internal/traffic/dispatcher.go
+++ b/internal/traffic/dispatcher.go
@@ -21,8 +21,8 @@
 type Hooks struct {
 	// Waiting is called when a request enters an empty queue.
 	Waiting func()
-	// Rare is called when this node's running requests for a scarce pool (at most maxScarceEndpoints endpoints) go
-	// from none to one or back to none. It may be nil.
+	// Rare is called when a scarce pool (at most maxScarceEndpoints endpoints) gets the only running request of this
+	// node without queueing, and when the last one ends. It may be nil.
 	Rare func()
 	// Leaving is called with the name of an endpoint whose answer said that it is draining.
 	Leaving func(endpoint string)
@@ -347,8 +347,8 @@
 		if until := ep.health.Until(); until.After(at) {
 			at = until
 		}
-		if shut := ep.unavailableUntil(); shut.After(at) {
-			at = shut
+		if available := ep.unavailableUntil(); available.After(at) {
+			at = available
 		}
 		if ep.pumpScheduled || !at.After(now) {
 			continue
@@ -429,9 +429,9 @@
 	d.pump(p, now)
 }
 
-// candidates returns the endpoints of the view that the pool may use, with their states. It leaves out endpoints that
-// are draining, were superseded by a later incarnation, or are in an evacuated data hall or a region that is not
-// allowed.
+// candidates returns the endpoints of the view that the pool may use, with their states, which it creates or updates.
+// It leaves out endpoints that are draining, were superseded by a later incarnation, or are in an evacuated data hall
+// or a region that is not allowed.
 func (d *Dispatcher) candidates(v *view.View, p *pool) []candidate {
 	eps, now := v.Pool(p.basePool), d.clock.Now()
 	out := make([]candidate, 0, len(eps))
--- a/internal/traffic/signals.go
+++ b/internal/traffic/signals.go
@@ -275,12 +275,12 @@
 	perSecond, unbound := 0.0, false
 	for i, cand := range p.endpoints {
 		ep := cand.endpointState
-		shut := ep.unavailableUntil()
-		if ep.limit == 0 && !shut.After(now) {
+		available := ep.unavailableUntil()
+		if ep.limit == 0 && !available.After(now) {
 			return time.Time{}, false
 		}
-		if i == 0 || shut.Before(at) {
-			at = shut
+		if i == 0 || available.Before(at) {
+			at = available
 		}
 		if ep.interval == 0 {
 			unbound = true
--- a/internal/traffic/wait.go
+++ b/internal/traffic/wait.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxRetryFraction bounds a retry hint to this fraction (1/3) of the request's remaining time. By the platform's
+	// retryTimeDivisor bounds a retry hint to this part (a third) of the request's remaining time. By the platform's
 	// documentation, callers stay away no longer than that.
-	maxRetryFraction = 3
+	retryTimeDivisor = 3
 	// retryMargin is added to the time at which a model is expected to be ready. A caller that comes back slightly
 	// early has to wait, while one that comes back later is served at once.
 	retryMargin = 150 * time.Millisecond
@@ -103,7 +103,7 @@
 	if len(p.endpoints) > 0 || !p.readyAt.After(req.waitDeadline()) {
 		return nil
 	}
-	delay := min(p.readyAt.Sub(now)+retryMargin, req.Deadline.Sub(now)/maxRetryFraction)
+	delay := min(p.readyAt.Sub(now)+retryMargin, req.Deadline.Sub(now)/retryTimeDivisor)
 	return refusal.New(refusal.CannotMakeDeadline, "%s is predicted to be ready in %s, after the caller gives up",
 		p.name, p.readyAt.Sub(now).Round(time.Millisecond)).After(delay)
 }
@@ -166,5 +166,5 @@
 		delay += time.Duration(ep.retryHints) * max(ep.interval, minRetryInterval) / time.Duration(len(p.endpoints))
 		ep.retryHints++
 	}
-	return min(delay, req.Deadline.Sub(now)/maxRetryFraction)
+	return min(delay, req.Deadline.Sub(now)/retryTimeDivisor)
 }
--- a/io/caller/attempts.go
+++ b/io/caller/attempts.go
@@ -86,11 +86,11 @@
 }
 
 // nextSlot waits for the slot of the next attempt and, for a request in isolation, for the lock under which one copy
-// runs at a time. It refuses a request that is quarantined: otherwise a request that crashes its engines would be
-// sent by every node again and again (30 times in 15 attempts at 3 nodes, compared with 4 with the check). The state
-// is checked again once the slot is granted, since the wait may have been long. The caller must call unlock when the
+// runs at a time. It refuses a request that is quarantined: otherwise one that crashes its engines is sent again by
+// every node (30 times when its caller submitted it 15 times to 3 nodes, and 4 times with this check). The state is
+// checked again once the slot is granted, since the wait may have been long. The caller must call unlock when the
 // attempt is over, with whether an endpoint answered it.
-func (s *Server) nextSlot(ctx context.Context, x *Exchange, req *traffic.SlotRequest) (slot *traffic.Slot, unlock func(well bool), err error) {
+func (s *Server) nextSlot(ctx context.Context, x *Exchange, req *traffic.SlotRequest) (slot *traffic.Slot, unlock func(answered bool), err error) {
 	if !x.trial {
 		trial, err := s.Isolation.Admit(ctx, x.Fingerprint)
 		if err != nil {
@@ -124,12 +124,11 @@
 	var e *endpoint.Error
 	switch {
 	case err == nil:
-		// Whether the answer was good was told with it.
+		// Whether the answer was a good one was reported when it was read.
 		run.Answered(false)
 	case !errors.As(err, &e), errors.Is(e.Cause, errStalled):
 		run.Left()
 	case e.Refused, e.Answered:
-		// Whether the answer was a good one was reported when it was read.
 		run.Answered(false)
 	case e.Outcome == retry.NotSent:
 		run.NotSent()
--- a/io/caller/dispatch.go
+++ b/io/caller/dispatch.go
@@ -37,7 +37,6 @@
 	}
 	a, err := s.fetchAnswer(ctx, x)
 	if err != nil {
-		// Refused before its key is claimed, so that the caller may use the key again.
 		return err
 	}
 	s.heldBytes.add(int64(len(a.body)))
@@ -55,7 +54,7 @@
 // dispatchOnce runs a request at most once per request key and returns the stored answer to a repeat of it.
 func (s *Server) dispatchOnce(ctx context.Context, x *Exchange) error {
 	if err := s.Isolation.Held(x.Fingerprint); err != nil {
-		// Before its key is claimed.
+		// Refused before its key is claimed, so that the caller may use the key again.
 		return err
 	}
 	key, err := oncekey.Parse(x.Caller.GetName(), x.R.Header.Get(HeaderRequestKey), s.Clock.Now())
@@ -161,7 +160,8 @@
 	begun := false
 	r.Check = func() error {
 		if !begun {
-			// Once the first bytes are out, the request is completed: aborting it would leave its outcome unknown.
+			// CheckSend applies only before the first bytes. A request that is being written is completed, since
+			// aborting it would leave its outcome unknown.
 			if err := s.Dispatcher.CheckSend(slot); err != nil {
 				return err
 			}
