--- /dev/null
+++ b/io/endpoint/check.go
@@ -0,0 +1,102 @@
+package endpoint
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http/httptrace"
+	"sync"
+)
+
+// Check decides right before a request is written whether it may still be sent, and returns the reason if not.
+// Conditions that held when the request was built may have changed since, because connecting took long or the machine
+// slept.
+type Check func() error
+
+// WithheldError is the error of a request of which nothing was written because its check failed.
+type WithheldError struct{ Cause error }
+
+// Error implements error.
+func (e *WithheldError) Error() string { return "not sent: " + e.Cause.Error() }
+
+// Unwrap returns Cause, the error of the check.
+func (e *WithheldError) Unwrap() error { return e.Cause }
+
+// Withheld reports whether err, the cause of a context from WithCheck, means that nothing of the request was written.
+func Withheld(err error) bool {
+	var e *WithheldError
+	return errors.As(err, &e)
+}
+
+// checkedConn is a connection that calls the check of the current request before each write.
+type checkedConn struct {
+	net.Conn
+	mu    sync.Mutex
+	check Check
+	// onForbidden is called with the error when the check fails.
+	onForbidden func(error)
+	// wrote is set once part of the request was written.
+	wrote bool
+}
+
+// setCheck sets the check for the next request; nil for none.
+func (c *checkedConn) setCheck(check Check, onForbidden func(error)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.check, c.onForbidden, c.wrote = check, onForbidden, false
+}
+
+// Write implements net.Conn. If the check fails it returns the check's error, as a *WithheldError if nothing of the
+// request was written yet.
+func (c *checkedConn) Write(b []byte) (int, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.check != nil {
+		if err := c.check(); err != nil {
+			if !c.wrote {
+				err = &WithheldError{err}
+			}
+			c.onForbidden(err)
+			return 0, err
+		}
+	}
+	c.wrote = true
+	return c.Conn.Write(b)
+}
+
+// DialFunc opens a connection, like net.Dialer.DialContext.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
+
+// CheckedDial returns a DialFunc whose connections run the checks of requests made under WithCheck.
+func CheckedDial(dial DialFunc) DialFunc {
+	return func(ctx context.Context, network, address string) (net.Conn, error) {
+		conn, err := dial(ctx, network, address)
+		if err != nil {
+			return nil, err
+		}
+		return &checkedConn{Conn: conn}, nil
+	}
+}
+
+// WithCheck returns a context for one HTTP request whose check runs before each write, on connections of CheckedDial.
+// If the check fails, the context is canceled with the error as its cause, so that net/http does not try another
+// connection.
+func WithCheck(ctx context.Context, check Check) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	var conn *checkedConn
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(info httptrace.GotConnInfo) {
+			if c, ok := info.Conn.(*checkedConn); ok {
+				conn = c
+				c.setCheck(check, cancel)
+			}
+		},
+		// The check ends here and not in WroteRequest, which is called before the last bytes are flushed.
+		GotFirstResponseByte: func() {
+			if conn != nil {
+				conn.setCheck(nil, nil)
+			}
+		},
+	})
+	return ctx, func() { cancel(context.Canceled) }
+}
