--- a/io/peer/credit.go
+++ b/io/peer/credit.go
@@ -12,41 +12,41 @@
 
 const (
 	pathCredit = "/peer/credit"
-	// creditTime bounds a question for credit: a request waits for it. A busy holder of 71
-	// nodes answers in 5 ms, one that stands still not at all.
-	creditTime = 250 * time.Millisecond
-	// maxQuestion bounds a question for credit, in bytes.
-	maxQuestion = 4 << 10
+	// creditTimeout bounds one credit request, because an admitted request waits for its answer. A busy lease holder
+	// of 71 nodes answers within 5 ms; a stalled one does not answer at all.
+	creditTimeout = 250 * time.Millisecond
+	// maxRequestBytes bounds the body of a credit or run lock request.
+	maxRequestBytes = 4 << 10
 )
 
-// Errors of questions.
+// Validation errors of a credit request.
 var (
-	// ErrBadAmount is returned for a question whose amounts are none.
-	ErrBadAmount = errors.New("the amounts asked for are no numbers of 0 or more; ask for what the request counts")
-	// ErrBadLimit is returned for a question on an endpoint without a limit, or on an endpoint and a customer.
-	ErrBadLimit = errors.New("a question on an endpoint needs the limit that it named, above 0, and no customer")
+	// ErrBadAmount is returned for a request whose need or prefetch amount is negative, infinite or not a number.
+	ErrBadAmount = errors.New("the requested amounts must be finite numbers of at least 0; request what the admitted request costs")
+	// ErrBadLimit is returned for an endpoint without a positive finite limit, or for an endpoint and a customer at once.
+	ErrBadLimit = errors.New("a credit request for an endpoint needs the endpoint's published limit, above 0, and no customer")
 )
 
-// CreditQuestion asks what a node may spend of the limit of a customer or of an endpoint.
+// CreditQuestion is a node's request to the lease holder for a grant from the limit of a customer or of an endpoint.
 type CreditQuestion struct {
 	Node string `json:"node"`
-	// Alone is true where the node has been spending its own part until now.
+	// Alone is true if the node has been spending its local share of the limit until now.
 	Alone bool `json:"alone,omitempty"`
-	// Customer is its name; "" only asks whether the holder answers.
+	// Customer is the customer's name. If it and Endpoint are empty, the request only probes whether the holder answers.
 	Customer string `json:"customer,omitempty"`
-	// Endpoint is an endpoint that limits its requests, Born the start of its life, and Limit what it named, in
-	// requests a second.
+	// Endpoint names an endpoint that limits its request rate, Born is the start of its incarnation, and Limit is the
+	// rate that it published, in requests per second.
 	Endpoint string  `json:"endpoint,omitempty"`
 	Born     int64   `json:"born,omitempty"`
 	Limit    float64 `json:"limit,omitempty"`
-	// Cold is true where Limit is what the endpoint takes while it is cold.
+	// Cold is true if Limit is the rate that the endpoint accepts while it is cold.
 	Cold bool `json:"cold,omitempty"`
-	// Need is what one request counts, and Ahead what is wanted beyond, in the limit's units.
+	// Need is the cost of one request, and Ahead the additional amount to prefetch, in the units of the limit.
 	Need  float64 `json:"need,omitempty"`
 	Ahead float64 `json:"ahead,omitempty"`
 }
 
-// Check returns an error for amounts that are none.
+// Check returns ErrBadAmount or ErrBadLimit if the request is invalid.
 func (q *CreditQuestion) Check() error {
 	for _, x := range []float64{q.Need, q.Ahead} {
 		if !(x >= 0) || math.IsInf(x, 0) {
@@ -59,22 +59,22 @@
 	return nil
 }
 
-// Credit is the holder's answer.
+// Credit is the lease holder's answer to a CreditQuestion.
 type Credit struct {
-	// Members is over how many nodes limits are parted.
+	// Members is the number of nodes among which limits are divided.
 	Members int `json:"members"`
-	// Unknown is true where the holder's configuration has no such customer.
+	// Unknown is true if the holder's configuration has no such customer.
 	Unknown bool    `json:"unknown,omitempty"`
 	Granted float64 `json:"granted,omitempty"`
-	// AfterMs is when there will be room, where nothing is granted.
+	// AfterMs is the time, in milliseconds, until the limit has capacity again, if nothing is granted.
 	AfterMs int64 `json:"afterMs,omitempty"`
 }
 
-// handleCredit answers nodes that ask for credit.
+// handleCredit serves credit requests of nodes.
 func handleCredit(h Holder) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var q CreditQuestion
-		if err := json.NewDecoder(io.LimitReader(r.Body, maxQuestion)).Decode(&q); err != nil {
+		if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&q); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -91,10 +91,10 @@
 	}
 }
 
-// Credit asks the holder at an address for credit.
+// Credit sends a credit request to the lease holder at an address.
 func (c *Client) Credit(ctx context.Context, address string, q *CreditQuestion) (*Credit, error) {
 	var a Credit
-	if err := c.post(ctx, creditTime, address+pathCredit, q, &a); err != nil {
+	if err := c.post(ctx, creditTimeout, address+pathCredit, q, &a); err != nil {
 		return nil, err
 	}
 	return &a, nil
--- a/io/peer/credit_test.go
+++ b/io/peer/credit_test.go
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestCredit checks that questions for credit and their answers arrive as they were sent,
-// and that a node that does not hold the lease says so.
+// TestCredit checks that credit requests and answers survive the round trip, and that a node without the lease answers
+// ErrNotHolder.
 func TestCredit(t *testing.T) {
 	h := &fakeHolder{}
 	srv := httptest.NewServer(Handler(h))
@@ -23,7 +23,7 @@
 	q := &CreditQuestion{Node: "n", Alone: true, Customer: "c", Need: 1100, Ahead: 20.5}
 	ask := func() (*Credit, error) { return c.Credit(t.Context(), address, q) }
 	if _, err := answered(t, ask); !errors.Is(err, ErrNotHolder) {
-		t.Errorf("a node that is no holder answered %v", err)
+		t.Errorf("a node without the lease answered %v", err)
 	}
 	h.credit = &Credit{Members: 71, AfterMs: 120}
 	got, err := answered(t, ask)
@@ -34,23 +34,23 @@
 		t.Errorf("answer (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(*q, h.asked); diff != "" {
-		t.Errorf("question (-want +got):\n%s", diff)
+		t.Errorf("request (-want +got):\n%s", diff)
 	}
 }
 
-// TestBadQuestions checks that a question that asks for no amount is refused.
-func TestBadQuestions(t *testing.T) {
+// TestInvalidCreditRequests checks that credit requests that are malformed, too long or ask for invalid amounts get status 400.
+func TestInvalidCreditRequests(t *testing.T) {
 	h := &fakeHolder{credit: &Credit{}}
 	srv := httptest.NewServer(Handler(h))
 	defer srv.Close()
-	for _, body := range []string{"", "{", `{"need":-1}`, `{"ahead":-0.5}`, `{"need":1e999}`, `{"need":"1"}`, strings.Repeat(" ", maxQuestion) + "{}"} {
+	for _, body := range []string{"", "{", `{"need":-1}`, `{"ahead":-0.5}`, `{"need":1e999}`, `{"need":"1"}`, strings.Repeat(" ", maxRequestBytes) + "{}"} {
 		resp, err := http.Post(srv.URL+pathCredit, "application/json", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
 		resp.Body.Close()
 		if resp.StatusCode != http.StatusBadRequest {
-			t.Errorf("%.20q was answered with %d", body, resp.StatusCode)
+			t.Errorf("%.20q: status %d", body, resp.StatusCode)
 		}
 	}
 }
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -1,16 +1,17 @@
-// Package peer carries what nodes tell the holder of the lease, and what it tells
-// them, over HTTP.
+// Package peer is the HTTP protocol between the nodes of a fleet and the node that holds the lease, the lease
+// holder, which plans placement for all of them.
 //
-// The problem: the holder must hear within milliseconds that a request waits for
-// a model, and all nodes must hear as soon that the model is there, while a
-// lapse of either costs time only, never a promise. The model: a node posts a
-// [Report] of its use, and asks for a [Snapshot] of what changed since the one
-// that it has; the holder answers that when something changed, or after
-// [Question.Wait] with nothing, which shows that it lives. A node that has lost the
-// holder, and does not reach the store, asks any other node who holds the lease.
+// Each node posts a [Report] with its demand to the holder, and long-polls it for a [Snapshot] of what changed since
+// the last one that the node received. The holder answers the poll when something changes, or without changes after
+// [Question.Wait], which shows that the holder is running. So the holder learns of a waiting request, and the nodes of
+// a loaded model, within milliseconds; a lost message only adds delay and breaks no guarantee. A node that can reach
+// neither the holder nor the store asks any other node who holds the lease. Further calls request grants from limits
+// (credit), take the run locks of isolated requests, and exchange quarantine state between two nodes.
 //
-// The platform hands out no keys, so these messages are not authenticated; the
-// addresses are reached from the system's own machines only.
+// Package internal/placer implements [Holder] and uses [Client].
+//
+// The messages are not authenticated, because the platform distributes no keys; the addresses are reachable only from
+// the system's own machines.
 package peer
 
 import (
@@ -36,193 +37,192 @@
 	"olivetiller/io/silence"
 )
 
-// Times of the protocol.
+// Timeouts and size limits of the protocol.
 const (
-	// maxWait bounds how long the holder keeps a question open.
+	// maxWait bounds how long the holder keeps a watch request open.
 	maxWait = 5 * time.Second
-	// callTime is added to that time for the way there and back; nodes are a few
+	// callTimeout bounds a call, and is added to the wait of a watch request for the round trip. Nodes are a few
 	// milliseconds apart.
-	callTime = 700 * time.Millisecond
-	// lookupTime bounds the question for the holder: the next node is asked then.
-	lookupTime = 300 * time.Millisecond
-	// maxMessage bounds a report in bytes.
-	maxMessage = 4 << 20
-	// maxSnapshot bounds a snapshot in bytes, uncompressed: some 40,000 endpoints.
-	maxSnapshot = 32 << 20
-	// snapshotTime bounds a snapshot as long as it comes at all: one of 10,000 endpoints takes seconds on a link that
-	// many nodes share.
-	snapshotTime = 10 * time.Second
+	callTimeout = 700 * time.Millisecond
+	// lookupTimeout bounds the question who holds the lease; the next node is asked after it.
+	lookupTimeout = 300 * time.Millisecond
+	// maxMessageBytes bounds a message other than a snapshot.
+	maxMessageBytes = 4 << 20
+	// maxSnapshotBytes bounds an uncompressed snapshot; it is enough for about 40,000 endpoints.
+	maxSnapshotBytes = 32 << 20
+	// snapshotTimeout bounds the transfer of a snapshot that makes progress: a snapshot of 10,000 endpoints takes
+	// seconds on a link that many nodes share.
+	snapshotTimeout = 10 * time.Second
 )
 
-// ErrTooLarge is returned for an answer over its bound.
-var ErrTooLarge = errors.New("the answer is longer than a snapshot may be; run one release on all nodes, and look for a foreign process at the address")
+// ErrTooLarge is returned for an answer above its size limit.
+var ErrTooLarge = errors.New("the answer exceeds the size limit of a snapshot; run the same release on all nodes, and check which process serves the address")
 
-// ErrNotHolder is returned when the node asked does not hold the lease.
+// ErrNotHolder is returned if the called node does not hold the lease.
 var ErrNotHolder = errors.New("the node does not hold the lease; ask the holder that the log names")
 
-// ErrNoHolder is returned when the node asked knows no holder either.
-var ErrNoHolder = errors.New("the node knows no holder of the lease; ask another one")
+// ErrNoHolder is returned if the called node does not know who holds the lease.
+var ErrNoHolder = errors.New("the node does not know who holds the lease; ask another node")
 
-// Use is a node's use of one unit, named by its pool.
+// Use is a node's demand for one unit, which is named by its pool, since the previous report.
 type Use struct {
 	Pool     string `json:"pool"`
 	Waiting  int    `json:"waiting,omitempty"`
 	Arrivals int    `json:"arrivals,omitempty"`
 	SentAway int    `json:"sentAway,omitempty"`
-	// ObjectiveMs is the least objective among the arrivals; 0 if none tells one.
+	// ObjectiveMs is the shortest latency objective among the arrivals, in milliseconds; 0 if none has one.
 	ObjectiveMs int64 `json:"objectiveMs,omitempty"`
-	// UrgentInMs is the time left until the next of the waiting wants its place,
-	// LastInMs until the last one does; negative when it is past.
+	// UrgentInMs and LastInMs are the times, in milliseconds, until the most urgent and the least urgent waiting
+	// request must get a slot; negative if that moment has passed.
 	UrgentInMs int64          `json:"urgentInMs,omitempty"`
 	LastInMs   int64          `json:"lastInMs,omitempty"`
 	RunningAt  map[string]int `json:"runningAt,omitempty"`
 }
 
-// Miss says that an engine did not hold a unit.
+// Miss reports that an engine did not hold the unit of a request that it received.
 type Miss struct {
 	Engine string `json:"engine"`
 	Pool   string `json:"pool"`
 }
 
-// Report is what a node tells the holder.
+// Report is a node's periodic message to the lease holder.
 type Report struct {
 	Node string `json:"node"`
-	// Address is where the node answers other nodes.
+	// Address is the host and port at which the node serves its peers.
 	Address string `json:"address,omitempty"`
-	// Hall is the node's data hall.
+	// Hall is the data hall of the node.
 	Hall string `json:"hall,omitempty"`
-	// Strength tells strong machines from weak ones.
+	// Strength compares machines by capacity: processor cores times link capacity in Mbit/s.
 	Strength float64 `json:"strength"`
-	// StoreAway is true where the node gets no answer of the store, Stopping once it
-	// ends.
+	// StoreAway is true if the node gets no answer from the store, Stopping once its planned stop has begun.
 	StoreAway bool `json:"storeAway,omitempty"`
 	Stopping  bool `json:"stopping,omitempty"`
-	// Alone is true while the node spends its own part of customers' limits.
+	// Alone is true while the node spends its local share of customers' limits instead of grants of the holder.
 	Alone  bool   `json:"alone,omitempty"`
 	Use    []Use  `json:"use"`
 	Misses []Miss `json:"misses,omitempty"`
-	// Suspects are what this node itself knows of requests under which engines ended, where that
-	// changed.
+	// Suspects is the node's own evidence on requests suspected of crashing engines, if it changed.
 	Suspects []Suspect `json:"suspects,omitempty"`
-	// Signals are what endpoints said of themselves, where that changed.
+	// Signals are the endpoints' own signals that the node has observed, if they changed.
 	Signals []Signal `json:"signals,omitempty"`
 }
 
-// Snapshot is what the holder tells the nodes.
+// Snapshot is the lease holder's answer to a watch request: a delta against the requester's version, or the full state.
 type Snapshot struct {
-	// Life tells one term of a holder from the next; Version rises within it.
+	// Life identifies one term of a lease holder. Version rises within it.
 	Life    string `json:"life"`
 	Fence   uint64 `json:"fence"`
 	Version uint64 `json:"version"`
-	// Nodes is the largest number of nodes, itself included, that the holder heard of lately.
+	// Nodes is the largest number of nodes, the holder included, that the holder has recently heard from.
 	Nodes int `json:"nodes"`
-	// Successor is the node that takes the lease when the holder is silent.
+	// Successor is the node that takes the lease if the holder falls silent.
 	Successor string `json:"successor,omitempty"`
-	// Peers are addresses of other nodes that may know the holder when this one is no
-	// more, if they changed.
+	// Peers are addresses of other nodes to ask for the holder once this one no longer answers, if they changed.
 	Peers []string `json:"peers,omitempty"`
-	// StoreDoubt is true while the holder gets no answer of the store: nodes try for
-	// themselves and report whether they do.
+	// StoreDoubt is true while the holder gets no answer from the store. The nodes then try the store themselves
+	// and report whether they reach it.
 	StoreDoubt bool `json:"storeDoubt,omitempty"`
-	// Redirect is true where the holder does not feed the asker: it is to ask one of Feeders, or again where there are none.
+	// Redirect is true if the holder does not send snapshots to the requester. The requester then asks one of Feeders,
+	// or the holder again if there are none.
 	Redirect bool `json:"redirect,omitempty"`
-	// Feeders are the nodes that feed others, if they changed; empty, not nil, where there are none any more.
+	// Feeders are the nodes that forward snapshots to followers, if they changed; empty but not nil if there are none.
 	Feeders []feedtree.Node `json:"feeders,omitzero"`
-	// HolderMs is how old the holder's word was when a feeder passed it on.
+	// HolderMs is the age, in milliseconds, of the holder's state when a feeder forwarded it.
 	HolderMs int64 `json:"holderAgeMs,omitempty"`
-	// HeldMs is how long the question was kept open.
+	// HeldMs is how long the watch request was kept open, in milliseconds.
 	HeldMs int64 `json:"heldMs"`
-	// Whole is true when Serving names every engine, not only the changed ones.
+	// Whole is true if the snapshot is full: Serving names every engine, not only the changed ones.
 	Whole bool `json:"whole,omitempty"`
-	// Serving holds the pools that each engine can serve.
+	// Serving maps each engine to the pools that it can serve.
 	Serving map[string][]string `json:"serving,omitempty"`
-	// Gone names the engines that the holder no longer knows.
+	// Gone lists the engines that the holder has removed.
 	Gone []string `json:"gone,omitempty"`
-	// ReadyInMs holds when units that no engine serves are expected, by pool.
+	// ReadyInMs maps the pool of each unit that no engine serves yet to the expected time until one does, in milliseconds.
 	ReadyInMs map[string]int64 `json:"readyInMs,omitempty"`
-	// Suspects are the requests under which engines ended, as far as they concern all nodes and
-	// changed; SuspectsTo is the version to which they lead.
+	// Suspects are the requests suspected of crashing engines that changed, without entries that concern single nodes
+	// only. SuspectsTo is the version that the requester has once it has merged them.
 	Suspects   []Suspect `json:"suspects,omitempty"`
 	SuspectsTo uint64    `json:"suspectsTo,omitempty"`
-	// Signals are what endpoints said of themselves, where that changed; SignalsTo is the version to which they lead.
+	// Signals are the endpoints' own signals that changed. SignalsTo is the version that the requester has once it
+	// has merged them.
 	Signals   []Signal `json:"signals,omitempty"`
 	SignalsTo uint64   `json:"signalsTo,omitempty"`
-	// VerdictsKnown is true once the holder has read the verdicts that the store keeps.
+	// VerdictsKnown is true once the holder has read the quarantine verdicts from the store.
 	VerdictsKnown bool `json:"verdictsKnown,omitempty"`
 	Feed
-	// Shared holds Serving and Instances of a whole snapshot once more, where many nodes get the
-	// same; nil where they are only this node's.
+	// Shared repeats Serving and Instances of a full snapshot that many nodes receive in the same form, so that they are
+	// encoded once; nil if they are specific to this requester.
 	Shared *Shared `json:"-"`
 }
 
-// Feed is what the holder read of the store, so that the others need not.
+// Feed is the state that the holder has read from the store, so that the other nodes need not read it.
 type Feed struct {
-	// AgeMs is how long ago the holder last read the store to its end.
+	// AgeMs is the time since the holder last read the store to its end, in milliseconds.
 	AgeMs int64 `json:"feedAgeMs"`
-	// ConfigAgeMs is for how long a configuration newer than the holder's may have been in
-	// force; nil where the holder has not read any, or does not tell.
+	// ConfigAgeMs is the longest time, in milliseconds, for which a configuration newer than the holder's may have
+	// been in force; nil if the holder has not read one or does not report it.
 	ConfigAgeMs *int64 `json:"configAgeMs,omitempty"`
-	// Lease is the latest record of the lease's topic, at LeaseOffset, without the nodes
-	// that it names: these are Takers, if they changed.
+	// Lease is the latest record of the lease topic, at LeaseOffset, without its list of nodes. That list is Takers, if
+	// it changed.
 	Lease       lease.Record `json:"lease"`
 	LeaseOffset uint64       `json:"leaseOffset"`
 	Takers      []string     `json:"takers,omitempty"`
-	// Config is the configuration in force, if the asker has an older one.
+	// Config is the configuration in force, if the requester has an older one.
 	Config *route.Config `json:"config,omitempty"`
-	// Instances are the entries of endpoints that changed, or all of them in a
-	// whole snapshot. What engines hold is left out.
+	// Instances are the changed entries of the endpoint directory, or all of them in a full snapshot, without the
+	// models that engines hold.
 	Instances []directory.Record `json:"instances,omitempty"`
-	// Evacuations are the data halls that are being evacuated, if that changed.
+	// Evacuations is the set of data halls being evacuated, if it changed.
 	Evacuations *Evacuations `json:"evacuations,omitempty"`
-	// ListedTo is the version up to which the list of endpoints was read.
+	// ListedTo is the version up to which the endpoint directory has been read.
 	ListedTo uint64 `json:"listedTo"`
 }
 
-// Evacuations are all data halls that are being evacuated, as of a position of the operator's topic.
+// Evacuations is the set of data halls being evacuated, as of an offset of the operator topic.
 type Evacuations struct {
 	Halls []string `json:"halls,omitempty"`
 	AsOf  uint64   `json:"asOf"`
 }
 
-// LeaseMark is the latest record of the lease that a node knows, and its offset.
+// LeaseMark is the latest lease record that a node knows, and its offset in the lease topic.
 type LeaseMark struct {
 	Record lease.Record `json:"record"`
 	Offset uint64       `json:"offset"`
 }
 
-// Question is what a node asks the holder.
+// Question is a node's watch request to the lease holder or to a feeder.
 type Question struct {
 	Node string
-	// Life and Version are those of the latest snapshot that the node has.
+	// Life and Version identify the latest snapshot that the node has received.
 	Life    string
 	Version uint64
 	// Config is the version of the configuration that the node has.
 	Config int64
-	// SuspectsTo is the version to which the node knows the holder's suspects, in that life.
+	// SuspectsTo is the version of the holder's suspects, within Life, that the node has merged.
 	SuspectsTo uint64
-	// SignalsTo is the same for what endpoints say.
+	// SignalsTo is the version of the holder's endpoint signals, within Life, that the node has merged.
 	SignalsTo uint64
-	// Wait is how long the holder may keep the question open.
+	// Wait is how long the holder may keep the request open without a change.
 	Wait time.Duration
-	// Address, Hall and Strength are as in Report.
+	// Address, Hall and Strength have the meaning of the same fields of Report.
 	Address, Hall string
 	Strength      float64
-	// Feeder is true for a question to a feeder, Orphan for one to the holder by a node that no feeder feeds.
+	// Feeder is true for a request to a feeder; Orphan is true for a request to the holder by a node that has no feeder.
 	Feeder, Orphan bool
 }
 
-// Holder answers nodes.
+// Holder is the server side of the protocol, which every node implements. Calls that need the lease fail on a node that
+// does not hold it.
 type Holder interface {
-	// Reported takes a report in.
+	// Reported merges a node's report.
 	Reported(r *Report) error
-	// Watch returns what changed since a snapshot, waiting until something has.
+	// Watch returns what changed since the requester's snapshot, and waits up to Question.Wait for a change.
 	Watch(ctx context.Context, q Question) (*Snapshot, error)
-	// LeaseMark returns the latest record of the lease that the node knows; nil if it
-	// knows no holder.
+	// LeaseMark returns the latest lease record that the node knows, or nil if it knows no holder.
 	LeaseMark() *LeaseMark
-	// Credit answers what a node may spend of a customer's limit.
+	// Credit answers a request for a grant from the limit of a customer or of an endpoint.
 	Credit(q *CreditQuestion) (*Credit, error)
-	// Turn answers whether a copy of an isolated request may run.
+	// Turn acquires or releases the lock under which copies of an isolated request run one at a time.
 	Turn(q *TurnQuestion) (*Turn, error)
 	Exchanger
 }
@@ -233,12 +233,12 @@
 	pathLease  = "/peer/lease"
 )
 
-// Handler serves a holder.
+// Handler returns the HTTP handler that serves a Holder.
 func Handler(h Holder) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+pathReport, func(w http.ResponseWriter, r *http.Request) {
 		var report Report
-		if err := json.NewDecoder(io.LimitReader(r.Body, maxMessage)).Decode(&report); err != nil {
+		if err := json.NewDecoder(io.LimitReader(r.Body, maxMessageBytes)).Decode(&report); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -276,29 +276,28 @@
 	return mux
 }
 
-// gzipFrom is the length in bytes from which an answer is compressed: a whole
-// snapshot of 90 engines has some 40 KB, and all nodes ask for one when a new holder
-// begins, behind a link that may carry but 10 Mbit/s.
-const gzipFrom = 2 << 10
+// minGzipBytes is the length from which an answer is compressed. A full snapshot of 90 engines has about 40 KB, and
+// all nodes request one when a new holder takes over, possibly through a 10 Mbit/s link.
+const minGzipBytes = 2 << 10
 
-// writeJSON answers with a message.
+// writeJSON encodes a message and writes it as the answer.
 func writeJSON(w http.ResponseWriter, r *http.Request, message any) {
 	raw, err := json.Marshal(message)
 	encoding := ""
-	if err == nil && len(raw) >= gzipFrom && takesGzip(r) {
+	if err == nil && len(raw) >= minGzipBytes && takesGzip(r) {
 		raw, encoding = compress(raw), encodingGzip
 	}
 	writeBody(w, raw, encoding, err)
 }
 
-// encodingGzip is the name of the compressed form.
+// encodingGzip is the HTTP content coding of compressed answers.
 const encodingGzip = "gzip"
 
 func takesGzip(r *http.Request) bool {
 	return strings.Contains(r.Header.Get("Accept-Encoding"), encodingGzip)
 }
 
-// writeBody answers with a message that was encoded, or with why it could not be.
+// writeBody writes an encoded answer, or status 500 if encoding it failed.
 func writeBody(w http.ResponseWriter, raw []byte, encoding string, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -308,25 +307,25 @@
 	if encoding != "" {
 		w.Header().Set("Content-Encoding", encoding)
 	}
-	// A failed write means that the node is gone.
+	// A failed write means that the node has disconnected.
 	_, _ = w.Write(raw)
 }
 
-// compressors holds gzip writers: each takes most of a megabyte.
+// compressors pools gzip writers, which take most of a megabyte each.
 var compressors = sync.Pool{New: func() any {
-	// The level is valid, so that there is no error.
+	// NewWriterLevel fails only for an invalid level.
 	z, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	return z
 }}
 
-// compress returns a message compressed. It does not write to the connection, which
-// may block: the writer is free for the next message.
+// compress returns a message in gzip form. It writes to a buffer and not to the connection, which may block and would
+// keep the pooled writer busy.
 func compress(raw []byte) []byte {
 	z := compressors.Get().(*gzip.Writer)
 	defer compressors.Put(z)
 	var out bytes.Buffer
 	z.Reset(&out)
-	// A buffer takes all there is.
+	// Writes to a bytes.Buffer do not fail.
 	_, _ = z.Write(raw)
 	_ = z.Close()
 	return out.Bytes()
@@ -363,7 +362,7 @@
 	if err != nil {
 		return Question{}, fmt.Errorf("waitMs: %w", err)
 	}
-	// Nodes of an earlier release do not tell these.
+	// Nodes of the previous release send no strength.
 	strength, _ := strconv.ParseFloat(v.Get("strength"), 64)
 	return Question{
 		Address: v.Get("address"), Hall: v.Get("hall"), Strength: max(0, strength), Feeder: v.Get("feeder") == "true", Orphan: v.Get("orphan") == "true",
@@ -372,7 +371,7 @@
 	}, nil
 }
 
-// parseVersion reads a version that nodes of an earlier release do not tell; 0 stands for none.
+// parseVersion parses a version parameter. It returns 0 if it is absent, as from nodes of an earlier release.
 func parseVersion(v url.Values, name string) (uint64, error) {
 	raw := v.Get(name)
 	if raw == "" {
@@ -385,58 +384,58 @@
 	return n, nil
 }
 
-// Client speaks to the holder. It is safe for concurrent use.
+// Client calls other nodes, above all the lease holder. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client.
+// NewClient returns a client that connects with a dialer.
 func NewClient(d *net.Dialer) *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 3}}}
 }
 
-// CloseIdleConnections closes the connections that are kept and at rest.
+// CloseIdleConnections closes the idle keep-alive connections.
 func (c *Client) CloseIdleConnections() { c.http.CloseIdleConnections() }
 
-// Report posts a report to the holder at an address.
+// Report posts a report to the lease holder at an address.
 func (c *Client) Report(ctx context.Context, address string, r *Report) error {
-	return c.post(ctx, callTime, address+pathReport, r, nil)
+	return c.post(ctx, callTimeout, address+pathReport, r, nil)
 }
 
-// post posts a message within a time and decodes the answer into another one; nil for none.
-func (c *Client) post(ctx context.Context, within time.Duration, at string, message, answer any) error {
+// post posts a message with a timeout and decodes the response into answer unless that is nil.
+func (c *Client) post(ctx context.Context, timeout time.Duration, address string, message, answer any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	return c.do(req, answer)
 }
 
-// Watch asks the holder at an address for what changed since a snapshot.
+// Watch requests from the holder or feeder at an address what changed since the snapshot that q names.
 func (c *Client) Watch(ctx context.Context, address string, q Question) (*Snapshot, error) {
-	ctx, cancel := context.WithTimeout(ctx, q.Wait+snapshotTime)
+	ctx, cancel := context.WithTimeout(ctx, q.Wait+snapshotTimeout)
 	defer cancel()
-	// A long answer is given up when nothing of it comes, not by its length.
-	progress, stop := silence.Watch(cancel, q.Wait+callTime, callTime)
+	// A long answer is aborted when it stalls, not when it takes long as a whole.
+	progress, stop := silence.Watch(cancel, q.Wait+callTimeout, callTimeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+pathWatch+"?"+q.values().Encode(), nil)
 	if err != nil {
 		return nil, err
 	}
 	var s Snapshot
-	if err := c.doLong(req, &s, maxSnapshot, progress); err != nil {
+	if err := c.doWithLimit(req, &s, maxSnapshotBytes, progress); err != nil {
 		return nil, err
 	}
 	return &s, nil
 }
 
-// Lease asks the node at an address for the latest record of the lease that it knows.
+// Lease asks the node at an address for the latest lease record that it knows.
 func (c *Client) Lease(ctx context.Context, address string) (*LeaseMark, error) {
-	ctx, cancel := context.WithTimeout(ctx, lookupTime)
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+pathLease, nil)
 	if err != nil {
@@ -450,21 +449,21 @@
 }
 
 func (c *Client) do(req *http.Request, answer any) error {
-	return c.doLong(req, answer, maxMessage, func() {})
+	return c.doWithLimit(req, answer, maxMessageBytes, func() {})
 }
 
-// doLong makes a call whose answer may have so many bytes, and calls progress with each part of it.
-func (c *Client) doLong(req *http.Request, answer any, most int64, progress func()) error {
+// doWithLimit makes a call whose answer may have up to most bytes, and calls progress after each read of it.
+func (c *Client) doWithLimit(req *http.Request, answer any, limit int64, progress func()) error {
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(silence.Reader{R: resp.Body, Progress: progress}, most+1))
+	raw, err := io.ReadAll(io.LimitReader(silence.Reader{R: resp.Body, Progress: progress}, limit+1))
 	switch {
 	case err != nil:
 		return err
-	case int64(len(raw)) > most:
+	case int64(len(raw)) > limit:
 		return ErrTooLarge
 	case resp.StatusCode == http.StatusConflict:
 		return ErrNotHolder
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -17,7 +17,7 @@
 	"olivetiller/core/lease"
 )
 
-// fakeHolder answers with what it was given.
+// fakeHolder records what it receives and answers with preset messages.
 type fakeHolder struct {
 	turn      *Turn
 	turnAsked TurnQuestion
@@ -60,11 +60,11 @@
 	return h.snapshot, nil
 }
 
-// calls bounds how often a call is made whose time is over.
+// calls bounds how often a call is repeated that runs into its timeout.
 const calls = 100
 
-// answered makes a call until it is answered: on a busy machine that may take longer than a
-// node waits, 700 ms beside 18 other busy processes on six cores.
+// answered repeats a call until it is answered in time. A busy machine may take longer than a node's timeout: 700 ms were
+// seen beside 18 other busy processes on six cores.
 func answered[T any](t *testing.T, call func() (T, error)) (T, error) {
 	t.Helper()
 	for range calls {
@@ -77,8 +77,7 @@
 	panic("not reached")
 }
 
-// TestRoundTrip checks that messages arrive as they were sent, short ones and those
-// that are compressed on the way.
+// TestRoundTrip checks that messages survive the round trip, both short ones and those long enough to be compressed.
 func TestRoundTrip(t *testing.T) {
 	long := &Snapshot{Life: "a-1", Version: 3, Successor: "b", Whole: true, Serving: make(map[string][]string)}
 	for i := range 200 {
@@ -101,7 +100,7 @@
 		}
 	}
 	if diff := cmp.Diff(question, h.question); diff != "" {
-		t.Errorf("question (-want +got):\n%s", diff)
+		t.Errorf("watch request (-want +got):\n%s", diff)
 	}
 	report := Report{Node: "n", Strength: 4, Use: []Use{{Pool: "unit/s/m", Waiting: 1, UrgentInMs: -3, LastInMs: 40}}}
 	if _, err := answered(t, func() (any, error) { return nil, c.Report(t.Context(), address, &report) }); err != nil {
@@ -112,8 +111,7 @@
 	}
 }
 
-// TestLease checks that a node is told the holder that another one knows, or that it knows
-// none.
+// TestLease checks that a node answers with the latest lease record that it knows, or with ErrNoHolder.
 func TestLease(t *testing.T) {
 	h := &fakeHolder{}
 	srv := httptest.NewServer(Handler(h))
@@ -133,8 +131,7 @@
 	}
 }
 
-// FuzzReport expects that the holder answers any bytes of a report, and takes over only what
-// can be told again.
+// FuzzReport checks that the handler answers any report body with status 204 or 400.
 func FuzzReport(f *testing.F) {
 	f.Add([]byte(`{"node":"n","use":[{"pool":"unit/s/m","waiting":1,"runningAt":{"e":2}}]}`))
 	f.Add([]byte(`{"use":[{"waiting":-1}]}`))
@@ -147,7 +144,7 @@
 	})
 }
 
-// FuzzQuestion expects an answer to any question in a URL.
+// FuzzQuestion checks that any query string of a watch request is parsed without a panic or a negative wait.
 func FuzzQuestion(f *testing.F) {
 	f.Add("node=n&life=a-1&version=2&config=7&waitMs=250")
 	f.Add("version=-1&waitMs=99999999999999999999")
@@ -159,7 +156,7 @@
 			return
 		}
 		if q, err := parseQuestion(v); err == nil && q.Wait < 0 {
-			t.Fatalf("a wait of %v", q.Wait)
+			t.Fatalf("negative wait %v", q.Wait)
 		}
 	})
 }
--- a/io/peer/quarantine.go
+++ b/io/peer/quarantine.go
@@ -10,8 +10,8 @@
 	"olivetiller/core/quarantine"
 )
 
-// Suspect is what a node knows of a request under which engines ended. Moments are told as ages,
-// since nodes' clocks differ.
+// Suspect is the evidence of a node against a request suspected of crashing engines. Times are sent as ages because
+// the clocks of nodes differ.
 type Suspect struct {
 	Request quarantine.Fingerprint `json:"request"`
 	Epoch   uint32                 `json:"epoch,omitempty"`
@@ -20,7 +20,8 @@
 	Verdict *Verdict               `json:"verdict,omitempty"`
 }
 
-// Blame is one engine's end that a request is blamed for.
+// Blame is the suspicion that a request caused one engine crash. RanMs is how long the request ran, and Begun is true
+// if its answer had begun.
 type Blame struct {
 	quarantine.EndID
 	RanMs int64 `json:"ranMs"`
@@ -28,13 +29,13 @@
 	AgeMs int64 `json:"ageMs"`
 }
 
-// Verdict keeps a request from engines.
+// Verdict is a quarantine decision: the request is kept from engines, except for trials.
 type Verdict struct {
 	AgeMs  int64 `json:"ageMs"`
 	Trials int   `json:"trials,omitempty"`
 }
 
-// Suspects encodes entries at a moment.
+// Suspects encodes registry entries, with ages relative to now.
 func Suspects(entries []quarantine.Entry, now time.Time) []Suspect {
 	out := make([]Suspect, 0, len(entries))
 	for i := range entries {
@@ -51,61 +52,61 @@
 	return out
 }
 
-// Entries decodes suspects that were received at a moment.
+// Entries decodes suspects received at now.
 func Entries(suspects []Suspect, now time.Time) []quarantine.Entry {
 	out := make([]quarantine.Entry, 0, len(suspects))
 	for i := range suspects {
 		s := &suspects[i]
-		e := quarantine.Entry{Request: s.Request, Epoch: s.Epoch, At: before(now, s.AgeMs)}
+		e := quarantine.Entry{Request: s.Request, Epoch: s.Epoch, At: timeFromAge(now, s.AgeMs)}
 		for _, b := range s.Blames {
-			e.Blames = append(e.Blames, quarantine.Blame{End: b.EndID, Ran: span(b.RanMs), Begun: b.Begun, At: before(now, b.AgeMs)})
+			e.Blames = append(e.Blames, quarantine.Blame{End: b.EndID, Ran: clampMs(b.RanMs), Begun: b.Begun, At: timeFromAge(now, b.AgeMs)})
 		}
 		if s.Verdict != nil {
-			e.Verdict = &quarantine.Verdict{At: before(now, s.Verdict.AgeMs), Trials: max(0, s.Verdict.Trials)}
+			e.Verdict = &quarantine.Verdict{At: timeFromAge(now, s.Verdict.AgeMs), Trials: max(0, s.Verdict.Trials)}
 		}
 		out = append(out, e)
 	}
 	return out
 }
 
-// longestSpan bounds the times that a message may tell: longer ones are forgotten anyway.
-const longestSpan = 48 * time.Hour
+// maxAge bounds the ages and durations of a message; entries that old have expired anyway.
+const maxAge = 48 * time.Hour
 
-// span reads a time that a message tells; less than 0 counts as none.
-func span(ms int64) time.Duration {
-	return time.Duration(max(0, min(longestSpan.Milliseconds(), ms))) * time.Millisecond
+// clampMs converts milliseconds from a message to a duration between 0 and maxAge.
+func clampMs(ms int64) time.Duration {
+	return time.Duration(max(0, min(maxAge.Milliseconds(), ms))) * time.Millisecond
 }
 
-func before(now time.Time, ms int64) time.Time { return now.Add(-span(ms)) }
+func timeFromAge(now time.Time, ms int64) time.Time { return now.Add(-clampMs(ms)) }
 
-// Exchange is what two nodes tell each other while no holder unites what they know.
+// Exchange is the quarantine state that two nodes send each other while no lease holder merges it for all.
 type Exchange struct {
-	// Node is who sends it, Life one life of its process.
+	// Node is the sender, and Life identifies the incarnation of its process.
 	Node string `json:"node"`
 	Life string `json:"life"`
-	// Since is the version up to which the sender knows what the other one knew, of the life Of.
+	// Since is the version of the receiver's state, in the incarnation Of of the receiver, that the sender has merged.
 	Since uint64 `json:"since,omitempty"`
 	Of    string `json:"of,omitempty"`
-	// Version is that of the sender, to which Suspects lead.
+	// Version is the version of the sender's state that the receiver has once it has merged Suspects.
 	Version  uint64    `json:"version"`
 	Suspects []Suspect `json:"suspects,omitempty"`
-	// Signals are what endpoints said of themselves, all that is known.
+	// Signals are all endpoint signals that the sender knows.
 	Signals []Signal `json:"signals,omitempty"`
 }
 
-// Exchanger answers other nodes' exchanges.
+// Exchanger is the server side of exchanges.
 type Exchanger interface {
-	// Exchange takes in what another node knows, and returns what this one does.
+	// Exchange merges another node's state and returns the local state.
 	Exchange(e *Exchange) *Exchange
 }
 
 const pathExchange = "/peer/quarantine"
 
-// handleExchange serves exchanges.
+// handleExchange serves exchanges of other nodes.
 func handleExchange(x Exchanger) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var e Exchange
-		if err := json.NewDecoder(io.LimitReader(r.Body, maxMessage)).Decode(&e); err != nil {
+		if err := json.NewDecoder(io.LimitReader(r.Body, maxMessageBytes)).Decode(&e); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -113,10 +114,10 @@
 	}
 }
 
-// Exchange tells the node at an address what this one knows, and returns its answer.
+// Exchange sends the local state to the node at an address and returns that node's state.
 func (c *Client) Exchange(ctx context.Context, address string, e *Exchange) (*Exchange, error) {
 	var answer Exchange
-	if err := c.post(ctx, lookupTime, address+pathExchange, e, &answer); err != nil {
+	if err := c.post(ctx, lookupTimeout, address+pathExchange, e, &answer); err != nil {
 		return nil, err
 	}
 	return &answer, nil
--- a/io/peer/quarantine_test.go
+++ b/io/peer/quarantine_test.go
@@ -13,8 +13,7 @@
 	"olivetiller/core/quarantine"
 )
 
-// TestSuspects checks that what is told of a request arrives as it was, at a clock that shows another
-// time.
+// TestSuspects checks that quarantine entries survive the round trip between two nodes whose clocks differ.
 func TestSuspects(t *testing.T) {
 	mine := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	theirs := mine.Add(17 * time.Hour)
@@ -43,12 +42,12 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]*Exchange{want, want}, []*Exchange{&h.exchange, got}); diff != "" {
-		t.Errorf("exchange there and back (-want +got):\n%s", diff)
+		t.Errorf("exchange and its answer (-want +got):\n%s", diff)
 	}
 }
 
-// TestOddSuspects checks that ages and spans that cannot be count as none.
-func TestOddSuspects(t *testing.T) {
+// TestSuspectsAreClamped checks that negative and overlong ages and durations are clamped.
+func TestSuspectsAreClamped(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	odd := []Suspect{{
 		AgeMs:   -5,
@@ -56,14 +55,15 @@
 		Verdict: &Verdict{AgeMs: -1 << 62, Trials: -3},
 	}}
 	want := []quarantine.Entry{{
-		At: now, Blames: []quarantine.Blame{{At: now.Add(-longestSpan)}}, Verdict: &quarantine.Verdict{At: now},
+		At: now, Blames: []quarantine.Blame{{At: now.Add(-maxAge)}}, Verdict: &quarantine.Verdict{At: now},
 	}}
 	if diff := cmp.Diff(want, Entries(odd, now)); diff != "" {
 		t.Errorf("entries (-want +got):\n%s", diff)
 	}
 }
 
-// FuzzExchange searches for messages of other nodes that a registry cannot take in.
+// FuzzExchange searches for messages of other nodes that crash the handler or the registry, or that the registry counts
+// as changed when it merges its own entries.
 func FuzzExchange(f *testing.F) {
 	f.Add([]byte(`{"node":"n","life":"n-1","version":3,"suspects":[{"request":"00112233445566778899aabbccddeeff","epoch":1,"ageMs":5,"blames":[{"engine":"e","start":4,"ranMs":80,"begun":true,"ageMs":9}],"verdict":{"ageMs":1,"trials":2}}]}`))
 	f.Add([]byte(`{"suspects":[{"request":"zz"}]}`))
@@ -83,7 +83,7 @@
 		version := r.Version()
 		r.Merge(entries, now.Add(time.Minute))
 		if r.Version() != version {
-			t.Fatal("what a node knows is news to itself")
+			t.Fatal("merging a registry's own entries changed its version")
 		}
 	})
 }
--- a/io/peer/shared.go
+++ b/io/peer/shared.go
@@ -10,9 +10,9 @@
 	"olivetiller/core/directory"
 )
 
-// Shared is the part of whole snapshots that is the same for all nodes. It is encoded and
-// compressed once: at 300 nodes and 3,000 engines a new holder else spends longer on its first
-// answers than the nodes wait for them. It must not be changed.
+// Shared is the part of full snapshots that is the same for all nodes. It is encoded and compressed once: with 300 nodes
+// and 3,000 engines, a new holder that encodes it for each node answers later than the nodes' timeout. It must not be
+// changed after its first use.
 type Shared struct {
 	Serving   map[string][]string `json:"serving,omitempty"`
 	Instances []directory.Record  `json:"instances,omitempty"`
@@ -22,7 +22,7 @@
 	err         error
 }
 
-// encoded returns the part as JSON, plain and compressed.
+// encoded returns the JSON form of s, uncompressed and compressed.
 func (s *Shared) encoded() (plain, gzip []byte, err error) {
 	s.once.Do(func() {
 		if s.plain, s.err = json.Marshal(s); s.err == nil {
@@ -32,8 +32,8 @@
 	return s.plain, s.gzip, s.err
 }
 
-// snapshotBody encodes a snapshot. A whole one is two JSON values of one message, whose second
-// holds the fields that are the same for all; compressed, it is two members of one stream.
+// snapshotBody encodes a snapshot. A full snapshot with a Shared part is two JSON values, the second of which holds the
+// shared fields; if compressed, each of them is one gzip member of the stream.
 func snapshotBody(s *Snapshot, compressed bool) (raw []byte, encoding string, err error) {
 	own := *s
 	if s.Shared != nil {
@@ -44,7 +44,7 @@
 		return nil, "", err
 	}
 	if s.Shared == nil {
-		if !compressed || len(raw) < gzipFrom {
+		if !compressed || len(raw) < minGzipBytes {
 			return raw, "", nil
 		}
 		return compress(raw), encodingGzip, nil
@@ -59,7 +59,7 @@
 	return append(compress(raw), zipped...), encodingGzip, nil
 }
 
-// decodeAll decodes the JSON values of a message into one, one after the other.
+// decodeAll decodes all JSON values of a message, one after the other, into the same variable.
 func decodeAll(raw []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	if err := d.Decode(into); err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// DecodeSnapshot decodes a snapshot as it comes from the wire, uncompressed.
+// DecodeSnapshot decodes the uncompressed form of a snapshot.
 func DecodeSnapshot(raw []byte) (*Snapshot, error) {
 	var s Snapshot
 	if err := decodeAll(raw, &s); err != nil {
--- a/io/peer/shared_test.go
+++ b/io/peer/shared_test.go
@@ -13,7 +13,7 @@
 	"olivetiller/core/directory"
 )
 
-// TestSharedSnapshot checks that a snapshot whose parts are shared arrives as one that is not.
+// TestSharedSnapshot checks that a snapshot with a shared part decodes to the same value as one without.
 func TestSharedSnapshot(t *testing.T) {
 	serving := map[string][]string{"e": {"a", "b"}}
 	records := []directory.Record{{ID: "e", Version: 3}, {ID: "f", Version: 4}}
@@ -48,18 +48,17 @@
 	}
 }
 
-// TestBadValues checks that a message of which one value is broken is none.
-func TestBadValues(t *testing.T) {
+// TestMalformedSnapshot checks that a message is rejected if any of its JSON values is malformed.
+func TestMalformedSnapshot(t *testing.T) {
 	for _, raw := range []string{"", "{", `{} {`, `{"version":1}{"version":"x"}`, "{} x"} {
 		if err := decodeAll([]byte(raw), &Snapshot{}); err == nil {
-			t.Errorf("%q was taken", raw)
+			t.Errorf("%q was accepted", raw)
 		}
 	}
 }
 
-// BenchmarkWholeSnapshots measures what a holder of 3,000 engines does to encode the answer to one
-// of the nodes that ask for everything together: 5.0 ms with each snapshot encoded apart,
-// 0.03 ms since.
+// BenchmarkWholeSnapshots measures the encoding of one full snapshot by a holder of 3,000 engines when many nodes request
+// one at once: 5.0 ms if each is encoded separately, 0.03 ms with the shared part.
 func BenchmarkWholeSnapshots(b *testing.B) {
 	shared := &Shared{}
 	for i := range 3000 {
--- a/io/peer/signal.go
+++ b/io/peer/signal.go
@@ -6,20 +6,21 @@
 	"olivetiller/core/signal"
 )
 
-// Signal is what an endpoint said of itself to some node. Moments are told as ages, since nodes' clocks differ.
+// Signal is what an endpoint last signalled about itself to a node. Times are sent as ages because the clocks of nodes
+// differ.
 type Signal struct {
 	Endpoint string `json:"endpoint"`
 	Born     int64  `json:"born,omitempty"`
-	// Limit is how many requests a second it takes from all nodes; 0 where it no longer names a limit.
+	// Limit is the rate that the endpoint accepts from all nodes together, in requests per second; 0 if it publishes none.
 	Limit float64 `json:"limit,omitempty"`
 	AgeMs int64   `json:"ageMs"`
-	// Leaving is true where it has said that it leaves.
+	// Leaving is true if the endpoint has announced that it is draining.
 	Leaving bool `json:"leaving,omitempty"`
-	// RestMs is for how much longer it wants nothing from some node.
+	// RestMs is the remaining backoff that the endpoint asked for, in milliseconds.
 	RestMs int64 `json:"restMs,omitempty"`
 }
 
-// Signals encodes what endpoints said at a moment.
+// Signals encodes endpoint reports, with ages relative to now.
 func Signals(words []signal.Word, now time.Time) []Signal {
 	out := make([]Signal, 0, len(words))
 	for _, w := range words {
@@ -28,11 +29,11 @@
 	return out
 }
 
-// Words decodes signals that were received at a moment. What no endpoint can have said is left out.
+// Words decodes signals received at now. It skips invalid ones.
 func Words(signals []Signal, now time.Time) []signal.Word {
 	out := make([]signal.Word, 0, len(signals))
 	for _, s := range signals {
-		w := signal.Word{Life: signal.Life{Endpoint: s.Endpoint, Start: s.Born}, Limit: s.Limit, At: before(now, s.AgeMs), Leaving: s.Leaving, RestUntil: now.Add(span(s.RestMs))}
+		w := signal.Word{Life: signal.Life{Endpoint: s.Endpoint, Start: s.Born}, Limit: s.Limit, At: timeFromAge(now, s.AgeMs), Leaving: s.Leaving, RestUntil: now.Add(clampMs(s.RestMs))}
 		if w.Check() == nil {
 			out = append(out, w)
 		}
--- a/io/peer/signal_test.go
+++ b/io/peer/signal_test.go
@@ -10,7 +10,7 @@
 	"olivetiller/core/signal"
 )
 
-// TestSignalsKeepAges checks that moments come through as ages, whatever the clocks of two nodes show.
+// TestSignalsKeepAges checks that times are transferred as ages, whatever the difference of the two nodes' clocks.
 func TestSignalsKeepAges(t *testing.T) {
 	here, there := time.Unix(1000, 0), time.Unix(5000, 0)
 	words := []signal.Word{
@@ -30,11 +30,12 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, Words(told, there)); diff != "" {
-		t.Errorf("words (-want +got):\n%s", diff)
+		t.Errorf("reports (-want +got):\n%s", diff)
 	}
 }
 
-// FuzzSignals expects that no message on endpoints ends a node, and that what is taken of it can have been said.
+// FuzzSignals checks that no message of endpoint signals causes a panic, and that every accepted report is valid and has
+// plausible times.
 func FuzzSignals(f *testing.F) {
 	f.Add([]byte(`[{"endpoint":"i-1","born":7,"limit":1.5,"ageMs":20,"leaving":true,"restMs":300}]`))
 	f.Add([]byte(`[{"endpoint":"","limit":-1,"ageMs":-9223372036854775808,"restMs":9223372036854775807}]`))
@@ -47,7 +48,7 @@
 		b := signal.NewBook()
 		for _, w := range Words(told, now) {
 			if w.Check() != nil || w.At.After(now) || w.RestUntil.Before(now) {
-				t.Errorf("taken: %+v", w)
+				t.Errorf("accepted: %+v", w)
 			}
 			b.Merge(w, now)
 		}
--- a/io/peer/silence_test.go
+++ b/io/peer/silence_test.go
@@ -15,11 +15,12 @@
 	"olivetiller/core/feedtree"
 )
 
-// TestAnswerTooLarge guards against an answer that takes a node's memory.
+// TestAnswerTooLarge guards against an answer that exhausts a node's memory: a process at the address that sends without
+// end must be cut off at maxSnapshotBytes.
 func TestAnswerTooLarge(t *testing.T) {
 	part := bytes.Repeat([]byte(" "), 1<<20)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		for range maxSnapshot>>20 + 1 {
+		for range maxSnapshotBytes>>20 + 1 {
 			// A failed write means that the reader has given up.
 			_, _ = w.Write(part)
 		}
@@ -34,16 +35,16 @@
 	}
 }
 
-// TestQuestionOfFeedTree checks that what the feed tree needs of a question arrives, and that a question of an earlier
-// release, which tells none of it, is read.
-func TestQuestionOfFeedTree(t *testing.T) {
+// TestWatchRequestRoundTrip checks that the fields that the feed tree needs survive the round trip, and that a request of
+// an earlier release, which lacks them, is still parsed.
+func TestWatchRequestRoundTrip(t *testing.T) {
 	want := Question{Node: "n", Life: "a-1", Version: 2, Wait: time.Second, Address: "10.0.0.1:7", Hall: "h", Strength: 0.25, Feeder: true, Orphan: true}
 	got, err := parseQuestion(want.values())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("question (-want +got):\n%s", diff)
+		t.Errorf("watch request (-want +got):\n%s", diff)
 	}
 	v := want.values()
 	for _, name := range []string{"address", "hall", "strength", "feeder", "orphan"} {
@@ -54,12 +55,12 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(Question{Node: "n", Life: "a-1", Version: 2, Wait: time.Second}, got); diff != "" {
-		t.Errorf("question of an earlier release (-want +got):\n%s", diff)
+		t.Errorf("watch request of an earlier release (-want +got):\n%s", diff)
 	}
 }
 
-// TestNoFeedersAreTold checks that a plan without feeders differs on the wire from one that did not change.
-func TestNoFeedersAreTold(t *testing.T) {
+// TestEmptyFeedersAreEncoded checks that an empty list of feeders is distinct on the wire from an unchanged one.
+func TestEmptyFeedersAreEncoded(t *testing.T) {
 	for _, want := range []*Snapshot{{Life: "a"}, {Life: "a", Feeders: []feedtree.Node{}}, {Life: "a", Feeders: []feedtree.Node{{Name: "n"}}}} {
 		raw, _, err := snapshotBody(want, false)
 		if err != nil {
--- a/io/peer/turn.go
+++ b/io/peer/turn.go
@@ -12,31 +12,31 @@
 
 const (
 	pathTurn = "/peer/turn"
-	// turnTime bounds a question for a turn: a request waits for it.
-	turnTime = 250 * time.Millisecond
+	// turnTimeout bounds a request for a run lock, because an isolated request waits for its answer.
+	turnTimeout = 250 * time.Millisecond
 )
 
-// TurnQuestion asks for the turn of an isolated request, or gives it back.
+// TurnQuestion acquires or releases the run lock of an isolated request, of which one copy runs at a time.
 type TurnQuestion struct {
 	Request quarantine.Fingerprint `json:"request"`
-	// Run tells the run from those of all nodes' lives.
+	// Run identifies the run among all runs of all nodes and of their incarnations.
 	Run string `json:"run"`
-	// Release gives the turn back; Well is true where an engine has answered the run.
+	// Release releases the lock. Well is true if an engine has answered the run.
 	Release bool `json:"release,omitempty"`
 	Well    bool `json:"well,omitempty"`
 }
 
-// Turn is the holder's answer.
+// Turn is the lease holder's answer to a TurnQuestion.
 type Turn struct {
-	// AfterMs is when to ask again; 0 where the turn is taken.
+	// AfterMs is the time after which to ask again, in milliseconds; 0 if the lock was acquired.
 	AfterMs int64 `json:"afterMs,omitempty"`
 }
 
-// handleTurn answers nodes that ask for turns.
+// handleTurn serves run lock requests of nodes.
 func handleTurn(h Holder) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var q TurnQuestion
-		if err := json.NewDecoder(io.LimitReader(r.Body, maxQuestion)).Decode(&q); err != nil {
+		if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&q); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -49,10 +49,10 @@
 	}
 }
 
-// Turn asks the holder at an address for a turn, or gives it back.
+// Turn acquires or releases a run lock at the lease holder at an address.
 func (c *Client) Turn(ctx context.Context, address string, q *TurnQuestion) (*Turn, error) {
 	var a Turn
-	if err := c.post(ctx, turnTime, address+pathTurn, q, &a); err != nil {
+	if err := c.post(ctx, turnTimeout, address+pathTurn, q, &a); err != nil {
 		return nil, err
 	}
 	return &a, nil
--- a/io/peer/turn_test.go
+++ b/io/peer/turn_test.go
@@ -14,8 +14,7 @@
 	"olivetiller/core/quarantine"
 )
 
-// TestTurn checks that questions for turns and their answers arrive as they were sent, and that
-// bad ones are refused.
+// TestTurn checks that run lock requests and answers survive the round trip, and that malformed ones get status 400.
 func TestTurn(t *testing.T) {
 	h := &fakeHolder{}
 	srv := httptest.NewServer(Handler(h))
@@ -25,7 +24,7 @@
 	q := &TurnQuestion{Request: quarantine.Fingerprint{1, 2}, Run: "n-1/7", Release: true, Well: true}
 	ask := func() (*Turn, error) { return c.Turn(t.Context(), address, q) }
 	if _, err := answered(t, ask); !errors.Is(err, ErrNotHolder) {
-		t.Errorf("a node that is no holder answered %v", err)
+		t.Errorf("a node without the lease answered %v", err)
 	}
 	h.turn = &Turn{AfterMs: 450}
 	got, err := answered(t, ask)
@@ -36,7 +35,7 @@
 		t.Errorf("answer (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(*q, h.turnAsked); diff != "" {
-		t.Errorf("question (-want +got):\n%s", diff)
+		t.Errorf("request (-want +got):\n%s", diff)
 	}
 	for _, body := range []string{"", "{", `{"request":"00"}`, `{"request":7}`} {
 		resp, err := http.Post(srv.URL+pathTurn, "application/json", strings.NewReader(body))
@@ -45,7 +44,7 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != http.StatusBadRequest {
-			t.Errorf("%.20q was answered with %d", body, resp.StatusCode)
+			t.Errorf("%.20q: status %d", body, resp.StatusCode)
 		}
 	}
 }
