--- a/cmd/olivetiller/client.go
+++ b/cmd/olivetiller/client.go
@@ -14,17 +14,17 @@
 	"olivetiller/proto/olivetiller/v1/olivetillerv1connect"
 )
 
-// nodeFlags name the node that a command calls.
+// nodeFlags select the node that a command calls, and the credentials for it.
 type nodeFlags struct {
-	Address string `required:"" env:"OLIVETILLER_ADDRESS" help:"The node's operator address, IP and port."`
-	Token   string `env:"OLIVETILLER_TOKEN" help:"The operator's token; better set in the environment."`
-	CA      string `name:"ca" type:"path" help:"Call over TLS and trust the certificates in this file."`
+	Address string `required:"" env:"OLIVETILLER_ADDRESS" help:"IP address and port of the node's operator API."`
+	Token   string `env:"OLIVETILLER_TOKEN" help:"The operator's bearer token. Prefer the environment variable, because arguments are visible to other users of the machine."`
+	CA      string `name:"ca" type:"path" help:"File with trusted CA certificates, PEM. If set, the call uses TLS; otherwise it is not encrypted."`
 }
 
-// callTimeout bounds a call that does not stream.
+// callTimeout bounds every call except streams.
 const callTimeout = 15 * time.Second
 
-// client returns the RPC client.
+// client returns a client of the operator API of the node.
 func (f *nodeFlags) client() (olivetillerv1connect.OperatorServiceClient, error) {
 	scheme := "http://"
 	hc := &http.Client{}
@@ -43,7 +43,7 @@
 	return olivetillerv1connect.NewOperatorServiceClient(hc, scheme+f.Address), nil
 }
 
-// authorized adds the operator's token to a call.
+// authorized returns a request with the operator's bearer token.
 func authorized[T any](f *nodeFlags, msg *T) *connect.Request[T] {
 	req := connect.NewRequest(msg)
 	req.Header().Set("Authorization", "Bearer "+f.Token)
--- a/cmd/olivetiller/config.go
+++ b/cmd/olivetiller/config.go
@@ -14,15 +14,15 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// configCmd is the commands about the configuration.
+// configCmd groups the commands that check, publish and read the configuration.
 type configCmd struct {
-	Check   configCheckCmd   `cmd:"" help:"Check a configuration file without a node; lists every fault."`
+	Check   configCheckCmd   `cmd:"" help:"Check a configuration file without calling a node, and list every fault."`
 	Publish configPublishCmd `cmd:"" help:"Publish a configuration file through a node."`
 	Show    configShowCmd    `cmd:"" help:"Print the configuration in force at a node, as JSON."`
-	Watch   configWatchCmd   `cmd:"" help:"Print each revision as it comes into force at a node."`
+	Watch   configWatchCmd   `cmd:"" help:"Print a line for each revision that comes into force at a node."`
 }
 
-// readConfig reads a configuration file: the Config message as JSON.
+// readConfig reads a configuration file, which is the Config message in JSON.
 func readConfig(path string) (*pb.Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -35,16 +35,16 @@
 	return cfg, nil
 }
 
-// marshalConfig writes a configuration as readConfig reads it.
+// marshalConfig encodes a configuration in the form that readConfig reads.
 func marshalConfig(cfg *pb.Config) ([]byte, error) {
 	return protojson.MarshalOptions{Multiline: true}.Marshal(cfg)
 }
 
 type configCheckCmd struct {
-	File string `arg:"" type:"path" help:"The configuration file, JSON."`
+	File string `arg:"" type:"path" help:"Configuration file, JSON."`
 }
 
-// Run implements the command.
+// Run prints the faults of the file and fails if there are any.
 func (c *configCheckCmd) Run() error {
 	cfg, err := readConfig(c.File)
 	if err != nil {
@@ -64,13 +64,13 @@
 
 type configPublishCmd struct {
 	nodeFlags
-	File         string  `arg:"" type:"path" help:"The configuration file, JSON."`
-	BaseRevision *uint64 `help:"The revision the file was made from; without it, the one in force at the node."`
-	ChangeID     string  `name:"change-id" help:"The change's id; repeat a publish with the same one. Without it, a new one is made and printed."`
-	DryRun       bool    `help:"Check everything and change nothing."`
+	File         string  `arg:"" type:"path" help:"Configuration file, JSON."`
+	BaseRevision *uint64 `help:"Revision that the file is based on. The publish fails if another one is in force. Default: the revision in force at the node."`
+	ChangeID     string  `name:"change-id" help:"Idempotency key of the change. Repeat a publish with the same one. Default: a new one, which is printed."`
+	DryRun       bool    `help:"Perform all checks without publishing."`
 }
 
-// Run implements the command.
+// Run publishes the file and prints the new revision and the change ID.
 func (c *configPublishCmd) Run() error {
 	cfg, err := readConfig(c.File)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// printDetails prints the typed details of a refused publish.
+// printDetails prints the typed details of a rejected publish: its faults, or the revision that it conflicts with.
 func printDetails(err error) {
 	var ce *connect.Error
 	if !errors.As(err, &ce) {
@@ -133,7 +133,7 @@
 	nodeFlags
 }
 
-// Run implements the command.
+// Run prints the configuration to standard output, and its revision and age to standard error.
 func (c *configShowCmd) Run() error {
 	client, err := c.client()
 	if err != nil {
@@ -156,10 +156,10 @@
 
 type configWatchCmd struct {
 	nodeFlags
-	Count int `help:"End after this many revisions; 0 goes on."`
+	Count int `help:"Stop after this number of revisions; 0 means no limit."`
 }
 
-// Run implements the command.
+// Run prints revisions until the count is reached or the stream ends.
 func (c *configWatchCmd) Run() error {
 	client, err := c.client()
 	if err != nil {
--- a/cmd/olivetiller/demo.go
+++ b/cmd/olivetiller/demo.go
@@ -9,14 +9,14 @@
 	"olivetiller/internal/demo"
 )
 
-// demoCmd runs a whole deployment on loopback.
+// demoCmd runs a whole deployment with stand-ins of its platform on the loopback interface.
 type demoCmd struct {
-	Seed    uint64        `default:"1" help:"Seeds the stand-ins."`
-	Timeout time.Duration `default:"60s" help:"Gives up after this long."`
-	Verbose bool          `help:"Log what the nodes do."`
+	Seed    uint64        `default:"1" help:"Random seed of the stand-ins."`
+	Timeout time.Duration `default:"60s" help:"Give up after this time."`
+	Verbose bool          `help:"Print the log of the nodes."`
 }
 
-// Run implements the command.
+// Run runs the demo and fails if a guarantee of the product does not hold.
 func (c *demoCmd) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
@@ -25,7 +25,7 @@
 		return err
 	}
 	if len(broken) > 0 {
-		return errors.New("demo: broken promise: " + broken[0])
+		return errors.New("demo: guarantee violated: " + broken[0])
 	}
 	return nil
 }
--- a/cmd/olivetiller/endpoint.go
+++ b/cmd/olivetiller/endpoint.go
@@ -6,26 +6,26 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// endpointCmd is the commands about endpoints.
+// endpointCmd groups the commands that drain and resume endpoints.
 type endpointCmd struct {
-	Drain  drainCmd  `cmd:"" help:"Give an endpoint no new work and unload it."`
-	Resume resumeCmd `cmd:"" help:"Give a drained endpoint work again."`
+	Drain  drainCmd  `cmd:"" help:"Drain an endpoint: send it no new requests and unload its models."`
+	Resume resumeCmd `cmd:"" help:"Send requests to a drained endpoint again."`
 }
 
 type drainCmd struct {
 	nodeFlags
-	Endpoint string `arg:"" help:"The endpoint's name in the instance list."`
+	Endpoint string `arg:"" help:"ID of the endpoint in the instance list."`
 }
 
-// Run implements the command.
+// Run drains the endpoint.
 func (c *drainCmd) Run() error { return setDrain(&c.nodeFlags, c.Endpoint, false) }
 
 type resumeCmd struct {
 	nodeFlags
-	Endpoint string `arg:"" help:"The endpoint's name in the instance list."`
+	Endpoint string `arg:"" help:"ID of the endpoint in the instance list."`
 }
 
-// Run implements the command.
+// Run resumes the endpoint.
 func (c *resumeCmd) Run() error { return setDrain(&c.nodeFlags, c.Endpoint, true) }
 
 func setDrain(f *nodeFlags, endpoint string, resume bool) error {
@@ -43,12 +43,12 @@
 	return nil
 }
 
-// stopCmd begins the planned stop of a node.
+// stopCmd starts the planned stop of a node.
 type stopCmd struct {
 	nodeFlags
 }
 
-// Run implements the command.
+// Run starts the stop and returns without waiting for its end.
 func (c *stopCmd) Run() error {
 	client, err := c.client()
 	if err != nil {
--- a/cmd/olivetiller/exit.go
+++ b/cmd/olivetiller/exit.go
@@ -9,20 +9,20 @@
 	"olivetiller/internal/settings"
 )
 
-// Exit codes.
+// Exit codes of the command; the package comment documents them.
 const (
 	exitBad         = 1
 	exitUsage       = 2
 	exitUnreachable = 3
 )
 
-// usageError is an error that the user of the command can mend.
+// usageError is an error that the user can correct: bad arguments, settings or files.
 type usageError struct{ error }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e usageError) Unwrap() error { return e.error }
 
-// exitCode returns the exit code for an error.
+// exitCode maps an error to an exit code.
 func exitCode(err error) int {
 	var usage usageError
 	var fault settings.Fault
--- a/cmd/olivetiller/hosted.go
+++ b/cmd/olivetiller/hosted.go
@@ -17,34 +17,33 @@
 )
 
 const (
-	// memoryShare is the part of the machine's memory at which the collector
-	// works harder.
+	// memoryShare is the fraction of the machine's memory from which garbage collection runs more often, to stay below it.
 	memoryShare = 0.6
-	// collectAt is the growth of the heap, in percent, between two collections: half keeps a node that knows 10,000
-	// endpoints under 32 MB.
-	collectAt = 50
+	// gcPercent is the heap growth between two garbage collections, in percent. 50 keeps a node that knows 10,000
+	// endpoints below 32 MB.
+	gcPercent = 50
 )
 
-// runHosted runs a node on the users' platform until a signal ends it.
+// runHosted runs a node on the hosting platform until SIGTERM or SIGINT starts its planned stop.
 func runHosted() error {
-	// First of all: a SIGHUP that nobody waits for would end the process.
+	// Must come first: the default action of SIGHUP ends the process.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	s, err := platform.ReadSettings()
 	if err != nil {
 		return usageError{err}
 	}
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
 	out := logout.New(os.Stdout)
 	defer out.Close()
 	logger := hclog.New(&hclog.LoggerOptions{Name: "olivetiller", Level: hclog.Info, JSONFormat: true, Output: out})
-	// Libraries write to the standard logger; their lines belong among the others.
+	// Libraries write to the standard logger; redirect it to the JSON log.
 	log.SetFlags(0)
 	log.SetOutput(logger.Named("library").StandardWriter(&hclog.StandardLoggerOptions{ForceLevel: hclog.Info}))
 	n, err := hosted.Start(platform.NodeSettings(s), platform.Plug(s), newClock(logger), logger)
 	if err != nil {
-		logger.Error("not started", "error", err.Error())
+		logger.Error("start failed", "error", err.Error())
 		return usageError{err}
 	}
 	for sig := range signals {
@@ -60,35 +59,34 @@
 		select {
 		case err := <-ended:
 			if err != nil {
-				logger.Warn("requests were cut off", "error", err.Error())
+				logger.Warn("stop timed out; requests in progress were aborted", "error", err.Error())
 			}
 			return nil
 		case sig := <-signals:
 			if sig != syscall.SIGHUP {
-				logger.Warn("second signal", "signal", sig.String())
+				logger.Warn("signal ignored during the stop", "signal", sig.String())
 			}
 		}
 	}
 }
 
-// newClock returns a clock that counts the time for which the machine was suspended, or, on a kernel
-// that has none, one that does not.
+// newClock returns a clock that includes the time for which the machine was suspended. If the kernel has none, it
+// returns the real clock, which does not include it.
 func newClock(logger hclog.Logger) clockwork.Clock {
 	c, err := boottime.New()
 	if err != nil {
-		logger.Error("what is believed will look too young after a sleep of the machine", "error", err.Error())
+		logger.Error("no suspend-aware clock: state will look too recent after the machine was suspended", "error", err.Error())
 		return clockwork.NewRealClock()
 	}
 	return c
 }
 
-// reload reads the settings anew. What they hold beside addresses is fixed for a
-// deployment, and addresses cannot change while the process lives: the new values
-// count from the next start.
+// reload checks the settings file again and logs the result. The addresses cannot change while the process runs, and all
+// other settings are fixed for a deployment, so new values only apply from the next start.
 func reload(logger hclog.Logger) {
 	if _, err := platform.ReadSettings(); err != nil {
-		logger.Error("settings not usable; the old ones hold", "error", err.Error())
+		logger.Error("settings are invalid; the previous ones stay in force", "error", err.Error())
 		return
 	}
-	logger.Info("settings read anew; they count from the next start")
+	logger.Info("settings are valid; changes apply from the next start")
 }
--- a/cmd/olivetiller/keys.go
+++ b/cmd/olivetiller/keys.go
@@ -9,24 +9,24 @@
 	"olivetiller/internal/fleetkeys"
 )
 
-// keysCmd makes the fleet's keys.
+// keysCmd groups the commands that create the fleet's certificates and keys.
 type keysCmd struct {
-	Authority keysAuthorityCmd `cmd:"" help:"Make the fleet's authority: authority.pem and authority.key."`
-	Node      keysNodeCmd      `cmd:"" help:"Make a node's certificate: NAME.pem and NAME.key, signed by the authority in the same folder."`
+	Authority keysAuthorityCmd `cmd:"" help:"Create the fleet's certificate authority: authority.pem and authority.key."`
+	Node      keysNodeCmd      `cmd:"" help:"Create a node's certificate and key, NAME.pem and NAME.key, signed by the authority in the same folder."`
 }
 
-// Names of the authority's files.
+// File names of the authority's certificate and key.
 const (
 	authorityCert = "authority.pem"
 	authorityKey  = "authority.key"
 )
 
 type keysAuthorityCmd struct {
-	Dir   string `required:"" type:"path" help:"The folder to write into."`
-	Fleet string `default:"olivetiller" help:"The fleet's name, shown in the certificate."`
+	Dir   string `required:"" type:"path" help:"Folder to write to; it is created if missing."`
+	Fleet string `default:"olivetiller" help:"Name of the fleet, part of the certificate's common name."`
 }
 
-// Run implements the command.
+// Run creates the authority.
 func (c *keysAuthorityCmd) Run() error {
 	pair, err := fleetkeys.NewAuthority(c.Fleet, time.Now())
 	if err != nil {
@@ -36,11 +36,11 @@
 }
 
 type keysNodeCmd struct {
-	Dir  string `required:"" type:"path" help:"The folder with the authority."`
-	Name string `arg:"" help:"The node's name, as in node.name."`
+	Dir  string `required:"" type:"path" help:"Folder that holds the authority and receives the node's files."`
+	Name string `arg:"" help:"Name of the node, equal to its setting node.name."`
 }
 
-// Run implements the command.
+// Run creates the node's certificate.
 func (c *keysNodeCmd) Run() error {
 	authority, err := fleetkeys.Read(filepath.Join(c.Dir, authorityCert), filepath.Join(c.Dir, authorityKey))
 	if err != nil {
@@ -53,7 +53,7 @@
 	return writePair(c.Dir, c.Name+".pem", c.Name+".key", pair)
 }
 
-// writePair writes a pair and never over an existing key.
+// writePair writes a certificate and its key, and fails rather than overwrite an existing file.
 func writePair(dir, certName, keyName string, pair fleetkeys.Pair) error {
 	const private, public = 0o600, 0o644
 	if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/cmd/olivetiller/main.go
+++ b/cmd/olivetiller/main.go
@@ -1,9 +1,9 @@
-// Command olivetiller is the product: a node, and the tools of its operators.
+// Command olivetiller runs a node that routes requests to model engines and plain services, and holds the tools of its
+// operators: they check and publish configurations, drain endpoints, show status, and create certificates.
 //
-// Exit codes: 0 success; 1 the command ran and its result is bad (a promise was
-// broken, a configuration has faults, a publish met a conflict); 2 the command
-// was not given what it needs (arguments, settings, keys); 3 the node it called
-// could not be reached or did not answer.
+// Exit codes: 0 success; 1 the command ran and its result is negative (a demo check failed, a configuration has
+// faults, a publish met a conflict); 2 the command lacks something that it needs (arguments, settings, keys); 3 the
+// called node was unreachable or did not answer.
 package main
 
 import (
@@ -13,17 +13,17 @@
 	"github.com/alecthomas/kong"
 )
 
-// commands is the command line.
+// commands is the root of the command line.
 type commands struct {
-	Node       nodeCmd       `cmd:"" help:"Run one node until it is told to stop (SIGTERM is a planned stop)."`
+	Node       nodeCmd       `cmd:"" help:"Run one node until it is stopped (SIGTERM starts a planned stop)."`
 	Config     configCmd     `cmd:"" help:"Check, publish, show or watch the configuration."`
-	Status     statusCmd     `cmd:"" help:"Show a node's placements, queues, endpoints, homes and log lag."`
+	Status     statusCmd     `cmd:"" help:"Show a node's endpoints, live nodes, log position, and the queue, replicas and home node of each unit."`
 	Endpoint   endpointCmd   `cmd:"" help:"Drain or resume an endpoint."`
-	Quarantine quarantineCmd `cmd:"" help:"List or release requests that are kept from engines."`
-	Stop       stopCmd       `cmd:"" help:"Begin the planned stop of a node."`
+	Quarantine quarantineCmd `cmd:"" help:"List or release requests that are kept from engines because they are suspected of crashing them."`
+	Stop       stopCmd       `cmd:"" help:"Start the planned stop of a node."`
 	Settings   settingsCmd   `cmd:"" help:"Print every setting of a node with its default, unit and meaning."`
-	Keys       keysCmd       `cmd:"" help:"Make the fleet's authority and the certificates of its nodes."`
-	Demo       demoCmd       `cmd:"" help:"Run a whole deployment on loopback, exercise its promises and print a table."`
+	Keys       keysCmd       `cmd:"" help:"Create the fleet's certificate authority and the certificates of its nodes."`
+	Demo       demoCmd       `cmd:"" help:"Run a whole deployment on the loopback interface, check its guarantees and print a table."`
 	Version    versionCmd    `cmd:"" help:"Print the version."`
 }
 
--- a/cmd/olivetiller/main_test.go
+++ b/cmd/olivetiller/main_test.go
@@ -22,8 +22,8 @@
 	testscript.Main(m, map[string]func(){"olivetiller": main, "standin": standin})
 }
 
-// standin runs a small deployment's stand-ins at the addresses in the
-// environment, with the nodes a and b in the list.
+// standin runs stand-ins of a small deployment's platform at the addresses in the environment, with the nodes a and b in
+// its instance list.
 func standin() {
 	shape := site.Krautwerk()
 	shape.Engines, shape.OtherEngines, shape.ListLag = 3, 0, 100*time.Millisecond
@@ -41,7 +41,7 @@
 	s.Close()
 }
 
-// TestScripts runs the scenarios: commands of the product as separate processes.
+// TestScripts runs the scenarios in testdata/script, which start olivetiller and the stand-ins as separate processes.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
@@ -62,8 +62,8 @@
 	})
 }
 
-// freeAddress returns a free address on a loopback host of its own: on the usual one, what
-// else runs on the machine may take the port before the node that it is meant for.
+// freeAddress returns a free port on a random loopback address. On 127.0.0.1 another process of the machine may take
+// the port before the node does.
 func freeAddress() (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -74,7 +74,7 @@
 	return l.Addr().String(), nil
 }
 
-// expand replaces ${NAME} in files by the environment.
+// expand replaces ${NAME} in files by variables of the script's environment.
 func expand(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		text := os.Expand(ts.ReadFile(name), ts.Getenv)
@@ -82,7 +82,7 @@
 	}
 }
 
-// await repeats a command until it succeeds and its output holds a text.
+// await repeats a command for up to 30 s until it succeeds and its output contains a text.
 func await(ts *testscript.TestScript, _ bool, args []string) {
 	until := time.Now().Add(30 * time.Second)
 	var err error
@@ -92,10 +92,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	ts.Fatalf("%v never showed %q: %v", args[1:], args[0], err)
+	ts.Fatalf("%v did not print %q within 30 s: %v", args[1:], args[0], err)
 }
 
-// ask sends a completion for a model to an address and checks every token.
+// ask sends a completion request for a model to an address and checks every token of the answer.
 func ask(ts *testscript.TestScript, neg bool, args []string) {
 	r := client.New("curator").Complete(context.Background(), args[0], client.Ask{
 		Model: args[1], Prompt: "p", Tokens: 5, Stream: true, Timeout: 30 * time.Second,
--- a/cmd/olivetiller/node.go
+++ b/cmd/olivetiller/node.go
@@ -15,21 +15,21 @@
 
 // nodeCmd runs one node.
 type nodeCmd struct {
-	Settings string `xor:"where" required:"" type:"path" help:"The node's settings file, INI."`
-	Platform bool   `xor:"where" required:"" help:"Run on the users' platform, with the settings file that it lays out."`
+	Settings string `xor:"where" required:"" type:"path" help:"Settings file of the node, INI. The command olivetiller settings lists all keys."`
+	Platform bool   `xor:"where" required:"" help:"Run on the hosting platform, with the settings file that it provides."`
 }
 
 // Help implements kong.HelpProvider.
 func (nodeCmd) Help() string {
-	return "The first SIGTERM or SIGINT begins a planned stop: the node tells its peers and the platform,\n" +
-		"serves on while the balancer may still send, ends every request and exits 0.\n" +
-		"A second signal ends it at once with exit code 1; so does times.stopTimeout.\n" +
-		"With --platform the settings are those of the platform; SIGHUP reads them anew."
+	return "The first SIGTERM or SIGINT starts a planned stop: the node announces it to its peers and the platform,\n" +
+		"accepts requests while the balancer may still send them, finishes all of them and exits with code 0.\n" +
+		"With --settings, a second signal or times.stopTimeout aborts the stop with exit code 1.\n" +
+		"With --platform, SIGHUP checks the settings file again; changes apply from the next start."
 }
 
-var errCutOff = eris.New("the stop was cut short; requests in progress were ended")
+var errCutOff = eris.New("the stop was aborted; requests in progress were cut off")
 
-// Run implements the command.
+// Run runs the node until it has stopped.
 func (c *nodeCmd) Run() error {
 	if c.Platform {
 		return runHosted()
--- a/cmd/olivetiller/quarantine.go
+++ b/cmd/olivetiller/quarantine.go
@@ -16,21 +16,21 @@
 	"olivetiller/internal/hosted"
 )
 
-// quarantineCmd is the commands about requests under which engines end.
+// quarantineCmd groups the commands about requests suspected of crashing engines.
 type quarantineCmd struct {
-	List    quarantineListCmd    `cmd:"" help:"List the requests under which engines ended, as a node on the platform knows them."`
-	Release quarantineReleaseCmd `cmd:"" help:"Let a request go to engines again, at all nodes."`
+	List    quarantineListCmd    `cmd:"" help:"List the requests suspected of crashing engines that a node on the hosting platform knows."`
+	Release quarantineReleaseCmd `cmd:"" help:"Allow a quarantined request on engines again, at all nodes."`
 }
 
-// metricsFlags say which node is asked.
+// metricsFlags select the node to call by its metrics address.
 type metricsFlags struct {
-	Address string `required:"" placeholder:"HOST:PORT" help:"The node's metrics address."`
+	Address string `required:"" placeholder:"HOST:PORT" help:"Metrics address of the node."`
 }
 
-// mostAnswer bounds what is read of a node's answer.
-const mostAnswer = 16 << 20
+// maxAnswerBytes bounds a node's answer; the rest is cut off.
+const maxAnswerBytes = 16 << 20
 
-// ask makes one call to a node's metrics address.
+// ask calls the node's metrics address and returns the body of the answer.
 func (f *metricsFlags) ask(method, path string) ([]byte, error) {
 	u := url.URL{Scheme: "http", Host: f.Address, Path: path}
 	ctx, cancel := callContext()
@@ -44,7 +44,7 @@
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	switch {
 	case err != nil:
 		return nil, connect.NewError(connect.CodeUnavailable, err)
@@ -59,7 +59,7 @@
 	JSON bool `name:"json" help:"Print the list as JSON."`
 }
 
-// Run implements the command.
+// Run prints the list, as a table unless JSON is requested.
 func (c *quarantineListCmd) Run() error {
 	raw, err := c.ask(http.MethodGet, hosted.PathQuarantine)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 	var list []hosted.Suspect
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return fmt.Errorf("the node's answer is no list: %w; is %s its metrics address?", err, c.Address)
+		return fmt.Errorf("the answer is not a list of requests: %w; check that %s is the metrics address of a node", err, c.Address)
 	}
 	if c.JSON {
 		_, err := os.Stdout.Write(raw)
@@ -87,10 +87,10 @@
 
 type quarantineReleaseCmd struct {
 	metricsFlags
-	Request string `arg:"" help:"The request's fingerprint, or its beginning as in the logs."`
+	Request string `arg:"" help:"Fingerprint of the request, or a unique prefix of it as in the logs."`
 }
 
-// Run implements the command.
+// Run releases the request.
 func (c *quarantineReleaseCmd) Run() error {
 	if _, err := c.ask(http.MethodDelete, hosted.PathQuarantine+"/"+c.Request); err != nil {
 		return err
--- a/cmd/olivetiller/settings.go
+++ b/cmd/olivetiller/settings.go
@@ -6,10 +6,10 @@
 	"olivetiller/internal/entry"
 )
 
-// settingsCmd prints every setting.
+// settingsCmd prints the table of a node's settings.
 type settingsCmd struct{}
 
-// Run implements the command.
+// Run prints the table.
 func (settingsCmd) Run() error {
 	var s entry.Settings
 	return s.Table().Print(os.Stdout)
--- a/cmd/olivetiller/status.go
+++ b/cmd/olivetiller/status.go
@@ -12,14 +12,14 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// statusCmd shows a node's status.
+// statusCmd prints a node's status.
 type statusCmd struct {
 	nodeFlags
 	JSON bool `name:"json" help:"Print the StatusResponse message as JSON."`
-	All  bool `help:"Show units without a replica or a request too."`
+	All  bool `help:"Also show units that have neither replicas nor requests."`
 }
 
-// Run implements the command.
+// Run prints the status, as tables unless JSON is requested.
 func (c *statusCmd) Run() error {
 	client, err := c.client()
 	if err != nil {
