--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -1,9 +1,8 @@
-// Package hosted assembles a node that runs on the users' platform.
+// Package hosted assembles a node that runs on the hosting platform.
 //
-// It joins the same filter chain, queues, choice and attempts that package entry
-// joins (io/caller, internal/traffic, io/endpoint) with the control side for a
-// platform that keeps what must last (internal/placer). What speaks to the
-// platform comes in as [Platform]: that is the one place where it plugs in.
+// It joins the request path that package entry also uses (io/caller, internal/traffic, io/endpoint) with the control side
+// for a platform that stores durable state for its programs (internal/placer). Everything that depends on the platform
+// is passed in as [Platform]. Command olivetiller calls [Start] for a node with --platform.
 package hosted
 
 import (
@@ -36,133 +35,132 @@
 	"olivetiller/io/peer"
 )
 
-// Settings are what a hosted node is started with.
+// Settings configure a hosted node.
 type Settings struct {
 	Name, Hall string
-	// Regions holds the region of each data hall.
+	// Regions maps each data hall to its region.
 	Regions map[string]string
-	// CallerAddress takes callers; ReadyAddress answers the balancer; PeerAddress
-	// takes the other nodes; MetricsAddress serves metrics, empty for none.
+	// CallerAddress serves callers, ReadyAddress the health checks of the load balancer, PeerAddress other nodes, and
+	// MetricsAddress metrics and quarantine requests of operators; an empty MetricsAddress disables these.
 	CallerAddress, ReadyAddress, PeerAddress, MetricsAddress string
-	// StopTimeout is how long after a stop signal the process may live.
+	// StopTimeout is the time from a stop signal to the platform's end of the process.
 	StopTimeout time.Duration
-	// Retries bound what all nodes together may send again.
+	// Retries bound the retries of all nodes together.
 	Retries retry.Limits
 	Loads   placement.Limits
-	// Cores is the processor time that the machine gives, in cores; LinkMbps what its
-	// link carries.
+	// Cores is the processor capacity of the machine, in cores; LinkMbps is its link capacity, in Mbit/s.
 	Cores, LinkMbps float64
-	// Bound is the shortest time within which the platform wants a changed
-	// configuration, or an endpoint that leaves, heeded; 0 where it tells none.
+	// Bound is the shortest time within which the platform requires that a changed configuration or a draining endpoint
+	// takes effect; 0 if it states none.
 	Bound time.Duration
-	// Fenced is true where engines check fences.
+	// Fenced is true if engines reject orders with an outdated fence.
 	Fenced bool
-	// Tolerance is what the platform bears above customers' limits.
+	// Tolerance is the excess over customers' limits that the platform tolerates.
 	Tolerance quota.Tolerance
-	// Cold is what the platform bears above the rate that a cold endpoint takes.
+	// Cold is the excess over the rate limit of a cold endpoint that the platform tolerates.
 	Cold quota.ColdTolerance
-	// MemoryBytes is the memory of the machine; 0 where it is not told.
+	// MemoryBytes is the memory of the machine; 0 if unknown.
 	MemoryBytes int64
-	// Descriptors bounds open files and connections; 0 for no bound.
+	// Descriptors is the limit on open files and connections; 0 if there is none.
 	Descriptors int
 }
 
-// Platform is what speaks to the platform.
+// Platform holds the clients and rules that depend on the platform.
 type Platform struct {
 	Store   placer.Store
 	Engines placer.Engines
-	// Protocol is the callers' form, given where to find the configuration and the time.
+	// Protocol returns the wire format between callers and the node, given access to the configuration and the clock.
 	Protocol func(config Config, clock clockwork.Clock) caller.Protocol
 	Judge    endpoint.Judge
 	Dialer   func(timeout time.Duration) *net.Dialer
 }
 
-// Config tells the configuration.
+// Config gives access to the configuration.
 type Config interface {
-	// Table returns the one in force, or nil.
+	// Table returns the routing table of the configuration in force, or nil if none is known.
 	Table() *route.Table
-	// ConfigAsOf returns since when a newer one may be; zero where none was read.
+	// ConfigAsOf returns the moment since which a newer configuration may be in force; zero if none was read.
 	ConfigAsOf() time.Time
 }
 
 // Limits of a hosted node.
 const (
-	// answerBytes bounds a whole answer.
+	// answerBytes bounds an answer that is buffered as a whole.
 	answerBytes = 32 << 20
-	// bodyBytes bounds a request's body where the configuration does not.
+	// bodyBytes bounds a request body if the configuration sets no limit.
 	bodyBytes = 8 << 20
-	// headerBytes bounds a request's head; the platform's callers keep within
-	// what the configuration tells, which is less.
+	// headerBytes bounds a request head. The platform's callers stay below the limit in the configuration, which is lower.
 	headerBytes = 64 << 10
-	// readTimeout bounds the time in which a head or a body must come in.
+	// readTimeout bounds the arrival of a request head, and again of its body.
 	readTimeout = 10 * time.Second
-	// idleTimeout closes connections at rest. It is above what the configurations
-	// of the platform tell, since callers use connections up to four fifths of that.
+	// idleTimeout closes idle connections. It is longer than the idle times in the platform's configurations, since
+	// callers reuse a connection for up to four fifths of that time.
 	idleTimeout = 2 * time.Minute
-	// callerShare is the part of the descriptors, in hundredths, that callers'
-	// connections may take: each request in progress needs another to an endpoint.
+	// callerShare is the percentage of Descriptors for callers' connections. Each request in progress also needs a
+	// connection to an endpoint.
 	callerShare = 50
-	// heldShare is the part of the memory, in hundredths, that bodies of requests and whole answers may take: the rest is
-	// for what the node knows, buffers of connections and garbage.
+	// heldShare is the percentage of MemoryBytes for buffered request bodies and answers. The rest is for the node's
+	// state, connection buffers and garbage.
 	heldShare = 20
-	// queueItems and queueBytes bound what waits for one unit.
+	// queueItems and queueBytes bound the queue of one unit.
 	queueItems = 2000
 	queueBytes = 32 << 20
-	// dialTimeout bounds a new connection to an endpoint: a few round trips.
+	// dialTimeout bounds the dial of a connection, which takes a few round trips.
 	dialTimeout = 500 * time.Millisecond
-	// balancerLag is how long after it was told the balancer may still send: it
-	// asks every second and gives up on a node after two misses.
+	// balancerLag is how long the load balancer may still send requests after the node turned unready: it probes every
+	// second and removes a node after two failures.
 	balancerLag = 2500 * time.Millisecond
-	// stopReserve is kept of the time to stop for the end itself; cutReserve is
-	// what is left when requests in progress are given up, and waitReserve when
-	// those that still wait for a place are sent elsewhere.
+	// These are the times left of StopTimeout at the steps of a stop: at waitReserve, requests that still wait for a
+	// slot are refused, so that callers retry at another node; at cutReserve, requests in progress are aborted; at
+	// stopReserve, the node no longer waits for them to end.
 	stopReserve = 300 * time.Millisecond
 	cutReserve  = 600 * time.Millisecond
 	waitReserve = 1500 * time.Millisecond
 	drainPoll   = 10 * time.Millisecond
 )
 
-// Node is one running node.
+// Node is a running node.
 type Node struct {
 	s       Settings
 	clock   clockwork.Clock
 	logger  hclog.Logger
 	control *placer.Controller
 	traffic *traffic.Dispatcher
-	// isolation keeps requests under which engines end from them.
+	// isolation keeps requests suspected of crashing engines away from engines.
 	isolation *isolation.Guard
 	caller    *caller.Server
-	// idle are the clients that keep connections.
-	idle    []idler
+	// idleClosers are the clients whose idle connections are closed after a suspend.
+	idleClosers    []idleCloser
 	servers []*http.Server
 	wg      sync.WaitGroup
 	cancel  context.CancelFunc
 }
 
-// Waker is a clock that tells when the machine has slept.
+// Waker is a clock that reports when the machine resumes after a suspend.
 type Waker interface {
 	OnWake(f func(slept time.Duration))
 }
 
-// idler keeps connections at rest.
-type idler interface{ CloseIdleConnections() }
+// idleCloser is a client with a pool of idle connections.
+type idleCloser interface{ CloseIdleConnections() }
 
-// woke notes that the machine has slept. What is believed is judged by a clock that counted the sleep; what
-// is left are kept connections, whose other sides may have given them up.
-func (n *Node) woke(slept time.Duration) {
-	n.logger.Warn("the machine woke from a sleep", "sleptMs", slept.Milliseconds())
-	for _, i := range n.idle {
+// onResume handles the resume of the machine. Ages of known state need no correction, because the clock includes the time of
+// the suspend; but the peers of idle connections may have closed them.
+func (n *Node) onResume(slept time.Duration) {
+	n.logger.Warn("machine resumed after a suspend", "sleptMs", slept.Milliseconds())
+	for _, i := range n.idleClosers {
 		i.CloseIdleConnections()
 	}
 	n.control.WakeDemand()
 }
 
-// Start opens the addresses and begins to run a node.
+// Start opens the node's addresses and runs it until Stop or Kill. It returns an error if an address other than the one
+// for metrics cannot be opened.
 func Start(s Settings, p Platform, clock clockwork.Clock, logger hclog.Logger) (*Node, error) {
 	n := &Node{s: s, clock: clock, logger: logger.With("node", s.Name)}
 	n.assemble(p)
 	if w, ok := clock.(Waker); ok {
-		w.OnWake(n.woke)
+		w.OnWake(n.onResume)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -181,12 +179,12 @@
 	}
 	if s.MetricsAddress != "" {
 		if err := n.serve(s.MetricsAddress, n.metrics()); err != nil {
-			// Metrics are not worth a node.
-			n.logger.Error("no metrics", "address", s.MetricsAddress, "error", err.Error())
+				// A node without metrics still serves requests.
+				n.logger.Error("metrics are unavailable: cannot listen", "address", s.MetricsAddress, "error", err.Error())
 		}
 	}
 	n.wg.Go(func() { n.control.Run(ctx) })
-	n.wg.Go(func() { n.note("callers", n.caller.Serve(callers)) })
+	n.wg.Go(func() { n.logServerError("callers", n.caller.Serve(callers)) })
 	n.logger.Info("started", "dataHall", s.Hall, "callerAddress", s.CallerAddress, "peerAddress", s.PeerAddress, "stopTimeoutMs", s.StopTimeout.Milliseconds())
 	return n, nil
 }
@@ -206,10 +204,10 @@
 	}
 	endpoints := endpoint.NewClientWith(endpoint.Options{Judge: p.Judge, Dialer: p.Dialer(dialTimeout)})
 	peers := peer.NewClient(p.Dialer(dialTimeout))
-	n.idle = []idler{endpoints, peers}
+	n.idleClosers = []idleCloser{endpoints, peers}
 	for _, client := range []any{p.Store, p.Engines} {
-		if i, ok := client.(idler); ok {
-			n.idle = append(n.idle, i)
+		if i, ok := client.(idleCloser); ok {
+			n.idleClosers = append(n.idleClosers, i)
 		}
 	}
 	n.isolation = isolation.New(isolation.Options{
@@ -217,7 +215,7 @@
 		Changed: func() { n.control.SuspectsChanged() },
 		Fresh:   func() bool { return n.control.SuspectsFresh() },
 		Claim:   func(ctx context.Context, e quarantine.Entry) error { return n.control.ClaimTrial(ctx, e) },
-		Turns:   turnTaker{n},
+		Turns:   runLocks{n},
 	})
 	n.traffic = traffic.New(n.clock, s.Hall, queue.Limits{Items: queueItems, Bytes: queueBytes}, hooks)
 	n.traffic.SetRegions(s.Regions)
@@ -238,25 +236,25 @@
 	}
 }
 
-// turnTaker gives turns by a node's control side, which is made after the guard that asks.
-type turnTaker struct{ n *Node }
+// runLocks acquires run locks through the node's control side, which is created after the isolation guard that uses it.
+type runLocks struct{ n *Node }
 
 // TakeTurn implements isolation.TurnTaker.
-func (t turnTaker) TakeTurn(ctx context.Context, f quarantine.Fingerprint, run string) time.Duration {
+func (t runLocks) TakeTurn(ctx context.Context, f quarantine.Fingerprint, run string) time.Duration {
 	return t.n.control.TakeTurn(ctx, f, run)
 }
 
 // ReleaseTurn implements isolation.TurnTaker.
-func (t turnTaker) ReleaseTurn(f quarantine.Fingerprint, run string, well bool) {
+func (t runLocks) ReleaseTurn(f quarantine.Fingerprint, run string, well bool) {
 	t.n.control.ReleaseTurn(f, run, well)
 }
 
-// weakDelay is how much longer the weakest machine waits before it takes the lease
-// than one with a whole core: the holder works for all nodes.
+// weakDelay is the extra delay before the weakest machine takes over the lease, compared with a machine of at least one
+// core. The lease holder works for all nodes, so strong machines are preferred.
 const weakDelay = 400 * time.Millisecond
 
-// spreadDelay keeps equal machines from trying at once: all but the first would
-// pay for an append that is refused.
+// spreadDelay spreads the takeover attempts of equal machines, since all attempts but the first cost an append that the
+// store rejects.
 const spreadDelay = 300 * time.Millisecond
 
 func takeoverDelay(name string, cores float64) time.Duration {
@@ -264,7 +262,7 @@
 	return time.Duration(max(0, 1-cores)*float64(weakDelay)) + spread
 }
 
-// serve answers HTTP at an address.
+// serve starts an HTTP server at an address.
 func (n *Node) serve(address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -272,18 +270,18 @@
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: readTimeout}
 	n.servers = append(n.servers, srv)
-	n.wg.Go(func() { n.note(address, srv.Serve(l)) })
+	n.wg.Go(func() { n.logServerError(address, srv.Serve(l)) })
 	return nil
 }
 
-// note logs why a server ended, unless it was told to.
-func (n *Node) note(what string, err error) {
+// logServerError logs the error with which a server ended, unless it was closed on purpose.
+func (n *Node) logServerError(what string, err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
-		n.logger.Error("a server ended", "server", what, "error", err.Error())
+		n.logger.Error("server failed", "server", what, "error", err.Error())
 	}
 }
 
-// ready answers the balancer.
+// ready answers the load balancer's health check: 200 if the node is ready for requests, otherwise 503.
 func (n *Node) ready() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !n.control.Ready() {
@@ -292,7 +290,7 @@
 	})
 }
 
-// metrics serves the metrics as one tree, and what operators ask of requests under which engines ended.
+// metrics serves all metrics as one JSON tree, and the operators' requests about quarantine.
 func (n *Node) metrics() http.Handler {
 	tree := new(expvar.Map).Init()
 	tree.Set("caller", n.caller.Metrics.Tree())
@@ -303,18 +301,18 @@
 	n.handleQuarantine(mux)
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// A failed write means that the reader is gone.
+		// A failed write means that the reader has disconnected.
 		_, _ = w.Write([]byte(`{"olivetiller":` + tree.String() + "}\n"))
 	})
 	return mux
 }
 
-// Holds reports whether this node orders the engines now.
+// Holds reports whether this node holds the lease and so gives orders to the engines.
 func (n *Node) Holds() bool { return n.control.Holds() }
 
-// Stop is the planned stop: the balancer is told, the lease is given up, requests
-// are taken while the balancer may still send, and all that were taken are
-// answered as far as the time to stop allows.
+// Stop performs the planned stop: it turns the node unready for the balancer, releases the lease, accepts requests while
+// the balancer may still send them, and finishes all accepted requests as far as StopTimeout allows. It returns an
+// error if it had to abort requests.
 func (n *Node) Stop() error {
 	begun := n.clock.Now()
 	ctx, cancel := boottime.WithTimeout(context.Background(), n.clock, n.s.StopTimeout-cutReserve)
@@ -337,17 +335,17 @@
 	return err
 }
 
-// drain waits until no request is in progress, or a moment has come.
+// drain waits until no request is in progress or the deadline has passed.
 func (n *Node) drain(until time.Time) {
 	for n.caller.Active() > 0 && n.clock.Now().Before(until) {
 		n.clock.Sleep(drainPoll)
 	}
 }
 
-// Kill ends the node at once.
+// Kill stops the node immediately and aborts its requests.
 func (n *Node) Kill() {
 	n.cancel()
-	// Nobody is left to tell that a connection could not be closed.
+	// The process ends, so a failed close has no consequence.
 	_ = n.caller.Close()
 	for _, s := range n.servers {
 		_ = s.Close()
--- a/internal/hosted/quarantine.go
+++ b/internal/hosted/quarantine.go
@@ -9,33 +9,34 @@
 	"olivetiller/core/quarantine"
 )
 
-// Paths of what operators ask of requests under which engines ended, at the metrics address.
+// HTTP paths at the metrics address for operators' requests about quarantine.
 const (
 	PathQuarantine = "/quarantine"
 	pathRelease    = PathQuarantine + "/{request}"
 )
 
-// Suspect is one request under which engines ended, as operators see it.
+// Suspect is a request suspected of crashing engines, as shown to operators.
 type Suspect struct {
-	// Request is its fingerprint.
+	// Request is the fingerprint of the request.
 	Request quarantine.Fingerprint `json:"request"`
 	State   string                 `json:"state"`
-	// Belief is the chance that engines end under it, from 0 to 1.
+	// Belief is the probability that the request crashes engines, from 0 to 1.
 	Belief float64 `json:"belief"`
-	// Ends counts the ends that it is blamed for, Unexplained those that no other one explains.
+	// Ends is the number of crashes that the request is suspected of; Unexplained is the number of those that no
+	// other request explains.
 	Ends        int `json:"ends"`
 	Unexplained int `json:"unexplained"`
-	// Trials counts the runs that were tried since the verdict.
+	// Trials is the number of trial runs since the verdict.
 	Trials int `json:"trials"`
-	// SinceMs is for how long it has been in this state.
+	// SinceMs is the time that the request has been in its state, in milliseconds.
 	SinceMs int64 `json:"sinceMs"`
 }
 
-// handleQuarantine adds what operators ask.
+// handleQuarantine registers the handlers that list and release suspects.
 func (n *Node) handleQuarantine(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+PathQuarantine, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// A failed write means that the reader is gone.
+		// A failed write means that the reader has disconnected.
 		_ = json.NewEncoder(w).Encode(n.suspects())
 	})
 	mux.HandleFunc("DELETE "+pathRelease, func(w http.ResponseWriter, r *http.Request) {
@@ -51,8 +52,7 @@
 	})
 }
 
-// suspects returns all requests of which something is thought, those under which engines most likely end
-// first.
+// suspects returns all requests with evidence against them, by falling probability of crashing engines.
 func (n *Node) suspects() []Suspect {
 	now := n.clock.Now()
 	out := []Suspect{}
@@ -74,7 +74,8 @@
 	return out
 }
 
-// findSuspect returns the one request whose fingerprint begins with some text.
+// findSuspect returns the only request whose fingerprint starts with a prefix. It finds none for an empty or ambiguous
+// prefix.
 func (n *Node) findSuspect(begin string) (f quarantine.Fingerprint, found bool) {
 	for _, s := range n.isolation.List() {
 		text, err := s.Request.MarshalText()
@@ -89,7 +90,7 @@
 	return f, found
 }
 
-// Quarantined returns how many requests are kept from engines.
+// Quarantined returns the number of quarantined requests.
 func (n *Node) Quarantined() int {
 	count := 0
 	for _, s := range n.isolation.List() {
