--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -130,10 +130,10 @@
 	isolation *isolation.Guard
 	caller    *caller.Server
 	// idleClosers are the clients whose idle connections are closed after a suspend.
-	idleClosers    []idleCloser
-	servers []*http.Server
-	wg      sync.WaitGroup
-	cancel  context.CancelFunc
+	idleClosers []idleCloser
+	servers     []*http.Server
+	wg          sync.WaitGroup
+	cancel      context.CancelFunc
 }
 
 // Waker is a clock that reports when the machine resumes after a suspend.
@@ -179,8 +179,8 @@
 	}
 	if s.MetricsAddress != "" {
 		if err := n.serve(s.MetricsAddress, n.metrics()); err != nil {
-				// A node without metrics still serves requests.
-				n.logger.Error("metrics are unavailable: cannot listen", "address", s.MetricsAddress, "error", err.Error())
+			// A node without metrics still serves requests.
+			n.logger.Error("metrics are unavailable: cannot listen", "address", s.MetricsAddress, "error", err.Error())
 		}
 	}
 	n.wg.Go(func() { n.control.Run(ctx) })
