--- a/io/boottime/clock.go
+++ b/io/boottime/clock.go
@@ -10,38 +10,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// noticeable is the least drift that counts as a sleep: readings of two clocks are microseconds
-// apart, and a shorter sleep changes nothing.
-const noticeable = 5 * time.Millisecond
+// minSuspend is the smallest drift between the two clocks that counts as a suspend. Two readings are microseconds apart,
+// and a shorter suspend has no effect on timers that matter.
+const minSuspend = 5 * time.Millisecond
 
-// source reads the two clocks.
+// source reads the two clocks that are compared.
 type source interface {
-	// boot is the time since the start of the machine, sleeps included, and awake that
-	// without them.
+	// boot returns the time since the machine started, including suspends; awake returns a time that stands still
+	// during suspends.
 	boot() time.Duration
 	awake() time.Duration
 }
 
-// kernel reads the machine's clocks.
+// kernel reads the clocks of the machine: CLOCK_BOOTTIME, and Go's monotonic clock since start.
 type kernel struct{ start time.Time }
 
 func (kernel) boot() time.Duration {
 	var ts unix.Timespec
-	// The call cannot fail: New has made it.
+	// The call does not fail: New has checked that the clock exists.
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts)
 	return time.Duration(ts.Nano())
 }
 
 func (k kernel) awake() time.Duration { return time.Since(k.start) }
 
-// Clock implements clockwork.Clock. It is safe for concurrent use.
+// Clock implements clockwork.Clock and includes the time for which the machine was suspended. It is safe for concurrent
+// use.
 type Clock struct {
 	from source
-	// base is the time of day at the start, without what time.Now measures spans by.
+	// base is the time of day at the creation of the clock, without a monotonic reading.
 	base time.Time
-	// boot0 and awake0 are the clocks at the start.
+	// boot0 and awake0 are the readings of the source at the creation of the clock.
 	boot0, awake0 time.Duration
-	// slept is what the machine has slept since, as far as noticed.
+	// slept is the total time in suspend that has been detected so far, in nanoseconds.
 	slept atomic.Int64
 
 	mu     sync.Mutex
@@ -49,45 +50,46 @@
 	hooks  []func(slept time.Duration)
 }
 
-// New returns a clock, or an error where the kernel has no such clock.
+// New returns a clock, or an error if the kernel does not support CLOCK_BOOTTIME.
 func New() (*Clock, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return nil, fmt.Errorf("CLOCK_BOOTTIME cannot be read: %w; run on Linux 2.6.39 or later", err)
+		return nil, fmt.Errorf("cannot read CLOCK_BOOTTIME: %w; run on Linux 2.6.39 or later", err)
 	}
 	return newClock(kernel{time.Now()}), nil
 }
 
 func newClock(from source) *Clock {
 	c := &Clock{from: from, base: time.Now().Round(0), timers: make(map[*timer]bool)}
-	// In this order a drift is never overrated.
+	// In this order, a suspend between the two readings makes the drift smaller, never larger.
 	c.awake0 = from.awake()
 	c.boot0 = from.boot()
 	return c
 }
 
-// OnWake has a function called after each sleep, on a goroutine of its own.
+// OnWake registers a function that is called in its own goroutine after each detected suspend, with its duration.
 func (c *Clock) OnWake(f func(slept time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hooks = append(c.hooks, f)
 }
 
-// Now implements clockwork.Clock.
+// Now returns the time of day at the creation of the clock plus the time since then, including suspends. It also detects
+// a suspend since the last reading.
 func (c *Clock) Now() time.Time {
 	boot := c.from.boot() - c.boot0
 	awake := c.from.awake() - c.awake0
-	if drift := boot - awake; drift-time.Duration(c.slept.Load()) >= noticeable {
-		c.woke(drift)
+	if drift := boot - awake; drift-time.Duration(c.slept.Load()) >= minSuspend {
+		c.onResume(drift)
 	}
 	return c.base.Add(boot)
 }
 
-// woke notes that the machine has slept, and sets the timers anew.
-func (c *Clock) woke(drift time.Duration) {
+// onResume records the new total drift, re-arms the timers and calls the hooks, unless another reading has already done so.
+func (c *Clock) onResume(drift time.Duration) {
 	c.mu.Lock()
 	before := time.Duration(c.slept.Load())
-	if drift-before < noticeable {
+	if drift-before < minSuspend {
 		c.mu.Unlock()
 		return
 	}
@@ -103,54 +105,55 @@
 	}
 }
 
-// Since implements clockwork.Clock.
+// Since returns the time since t, including suspends.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Until implements clockwork.Clock.
+// Until returns the time until t.
 func (c *Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// After implements clockwork.Clock.
+// After returns a channel that receives the time once d has passed.
 func (c *Clock) After(d time.Duration) <-chan time.Time { return c.NewTimer(d).Chan() }
 
-// Sleep implements clockwork.Clock.
+// Sleep blocks the goroutine until d has passed.
 func (c *Clock) Sleep(d time.Duration) { <-c.After(d) }
 
-// NewTimer implements clockwork.Clock.
+// NewTimer returns a timer that sends the time on its channel once d has passed.
 func (c *Clock) NewTimer(d time.Duration) clockwork.Timer {
 	t := &timer{clock: c, c: make(chan time.Time, 1)}
 	t.set(d)
 	return t
 }
 
-// AfterFunc implements clockwork.Clock.
+// AfterFunc returns a timer that calls f in its own goroutine once d has passed.
 func (c *Clock) AfterFunc(d time.Duration, f func()) clockwork.Timer {
 	t := &timer{clock: c, f: f}
 	t.set(d)
 	return t
 }
 
-// NewTicker implements clockwork.Clock.
+// NewTicker returns a ticker that sends the time on its channel every d. It drops ticks that nobody receives or that
+// passed during a suspend.
 func (c *Clock) NewTicker(d time.Duration) clockwork.Ticker {
 	t := &ticker{timer: timer{clock: c, c: make(chan time.Time, 1), every: d}}
 	t.set(d)
 	return t
 }
 
-// timer is a timer or, where every is set, a ticker. The clock's lock guards its fields.
+// timer is a timer or, if every is set, a ticker. The clock's mutex guards due, every, runtimeTimer and round.
 type timer struct {
 	clock *Clock
-	// c gets the moment, or f is called.
+	// c receives the time when the timer fires, unless f is set and called instead.
 	c     chan time.Time
 	f     func()
 	every time.Duration
 	due   time.Time
-	// real is the runtime's timer, of the clock that stands still in sleep; round tells its
-	// firings apart.
-	real  *time.Timer
-	round int
+	// runtimeTimer is the runtime's timer, which does not advance during a suspend. round counts its settings, so that a firing
+	// of an earlier setting is recognized and ignored.
+	runtimeTimer *time.Timer
+	round        int
 }
 
-// set starts the timer anew and reports whether it was running.
+// set starts or restarts the timer and reports whether it was running.
 func (t *timer) set(d time.Duration) bool {
 	now := t.clock.Now()
 	t.clock.mu.Lock()
@@ -162,17 +165,17 @@
 	return was
 }
 
-// rearm has the runtime's timer fire when the timer is due. The clock's lock is held.
+// rearm sets the runtime's timer to fire when t is due. The caller must hold the clock's mutex.
 func (t *timer) rearm(now time.Time) {
-	if t.real != nil {
-		t.real.Stop()
+	if t.runtimeTimer != nil {
+		t.runtimeTimer.Stop()
 	}
 	t.round++
 	round := t.round
-	t.real = time.AfterFunc(max(0, t.due.Sub(now)), func() { t.fire(round) })
+	t.runtimeTimer = time.AfterFunc(max(0, t.due.Sub(now)), func() { t.fire(round) })
 }
 
-// fire ends a round, unless the timer was set anew or stopped meanwhile.
+// fire handles the firing of the runtime's timer of a round, unless t was reset or stopped since.
 func (t *timer) fire(round int) {
 	now := t.clock.Now()
 	t.clock.mu.Lock()
@@ -181,7 +184,7 @@
 		return
 	}
 	if t.every > 0 {
-		// Ticks that were missed are not made up for.
+		// Skip the ticks that were missed.
 		for t.due = t.due.Add(t.every); !t.due.After(now); {
 			t.due = t.due.Add(t.every)
 		}
@@ -200,30 +203,30 @@
 	}
 }
 
-// Chan implements clockwork.Timer and clockwork.Ticker.
+// Chan returns the channel on which the time is sent.
 func (t *timer) Chan() <-chan time.Time { return t.c }
 
-// Reset implements clockwork.Timer.
+// Reset discards an unreceived time, restarts the timer, and reports whether it was running.
 func (t *timer) Reset(d time.Duration) bool {
 	t.drain()
 	return t.set(d)
 }
 
-// Stop implements clockwork.Timer.
+// Stop stops the timer, discards an unreceived time, and reports whether the timer was running.
 func (t *timer) Stop() bool {
 	t.clock.mu.Lock()
 	was := t.clock.timers[t]
 	delete(t.clock.timers, t)
 	t.round++
-	if t.real != nil {
-		t.real.Stop()
+	if t.runtimeTimer != nil {
+		t.runtimeTimer.Stop()
 	}
 	t.clock.mu.Unlock()
 	t.drain()
 	return was
 }
 
-// drain takes back a moment that nobody has received, as the runtime's timers do.
+// drain discards an unreceived time, as Stop and Reset of the runtime's timers do.
 func (t *timer) drain() {
 	select {
 	case <-t.c:
@@ -231,10 +234,10 @@
 	}
 }
 
-// ticker implements clockwork.Ticker.
+// ticker is a timer with an interval. It implements clockwork.Ticker.
 type ticker struct{ timer }
 
-// Reset implements clockwork.Ticker.
+// Reset restarts the ticker with a new interval.
 func (t *ticker) Reset(d time.Duration) {
 	t.clock.mu.Lock()
 	t.every = d
@@ -243,5 +246,5 @@
 	t.set(d)
 }
 
-// Stop implements clockwork.Ticker.
+// Stop stops the ticker.
 func (t *ticker) Stop() { t.timer.Stop() }
--- a/io/boottime/clock_test.go
+++ b/io/boottime/clock_test.go
@@ -11,40 +11,41 @@
 
 var _ clockwork.Clock = (*Clock)(nil)
 
-// sleeper is a machine whose clocks go on by word, and that sleeps by word.
-type sleeper struct {
+// fakeSource is a source whose clocks advance only by calls of pass and sleep.
+type fakeSource struct {
 	mu             sync.Mutex
 	bootAt, awakeT time.Duration
 }
 
-func (s *sleeper) boot() time.Duration {
+func (s *fakeSource) boot() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bootAt
 }
 
-func (s *sleeper) awake() time.Duration {
+func (s *fakeSource) awake() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.awakeT
 }
 
-// pass has time pass, and sleep the machine sleep.
-func (s *sleeper) pass(d time.Duration) {
+// pass advances both clocks.
+func (s *fakeSource) pass(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.bootAt, s.awakeT = s.bootAt+d, s.awakeT+d
 }
 
-func (s *sleeper) sleep(d time.Duration) {
+// sleep simulates a suspend: only the boot clock advances.
+func (s *fakeSource) sleep(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.bootAt += d
 }
 
-// TestCountsSleep checks that the clock counts what the machine slept, and tells of it once.
-func TestCountsSleep(t *testing.T) {
-	s := &sleeper{bootAt: 100 * time.Hour}
+// TestClockIncludesSuspend checks that the clock includes a suspend and calls the hooks exactly once for it.
+func TestClockIncludesSuspend(t *testing.T) {
+	s := &fakeSource{bootAt: 100 * time.Hour}
 	c := newClock(s)
 	slept := make(chan time.Duration, 9)
 	c.OnWake(func(d time.Duration) { slept <- d })
@@ -56,20 +57,20 @@
 	got = append(got, c.Since(start))
 	want := []time.Duration{8 * time.Second, 8 * time.Second, 8 * time.Second, 9 * time.Second}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("time that passed (-want +got):\n%s", diff)
+		t.Errorf("elapsed times (-want +got):\n%s", diff)
 	}
 	if d := <-slept; d != 7*time.Second {
-		t.Errorf("told of a sleep of %v, want 7s", d)
+		t.Errorf("hook called for a suspend of %v, want 7s", d)
 	}
 	if len(slept) > 0 {
-		t.Errorf("told again, of %v", <-slept)
+		t.Errorf("hook called again, for %v", <-slept)
 	}
 }
 
-// TestTimersAfterSleep checks which timers fire once the machine has woken: those that are due, at once,
-// and no others.
-func TestTimersAfterSleep(t *testing.T) {
-	s := &sleeper{}
+// TestTimersAfterSuspend guards against timers that wait for the duration of a suspend in addition: after a resume, the
+// timers that are due fire at once, and no others do.
+func TestTimersAfterSuspend(t *testing.T) {
+	s := &fakeSource{}
 	c := newClock(s)
 	called := make(chan string, 9)
 	due, later, stopped := c.NewTimer(time.Hour), c.NewTimer(3*time.Hour), c.NewTimer(time.Hour)
@@ -80,32 +81,32 @@
 	s.sleep(2*time.Hour + time.Minute)
 	now := c.Now()
 	if at := <-due.Chan(); at.Before(now) {
-		t.Errorf("the timer fired at %v, before the wake at %v", at, now)
+		t.Errorf("timer fired with time %v, before the resume at %v", at, now)
 	}
 	<-tick.Chan()
 	if got := <-called; got != "due" {
-		t.Errorf("%s was called", got)
+		t.Errorf("AfterFunc called %s, want due", got)
 	}
 	if later.Stop() != true || stopped.Stop() != false || due.Stop() != false {
-		t.Error("which timers run is not known any more")
+		t.Error("Stop reported the wrong state of a timer")
 	}
-	// Two ticks were missed and are not made up for; the next is in 59 minutes.
+	// Two ticks were missed and are skipped; the next one is due in 59 minutes.
 	s.sleep(time.Hour)
 	c.Now()
 	<-tick.Chan()
 	if got := <-called; got != "later" {
-		t.Errorf("%s was called, want later", got)
+		t.Errorf("AfterFunc called %s, want later", got)
 	}
 	select {
 	case <-stopped.Chan():
 		t.Error("a stopped timer fired")
 	case <-tick.Chan():
-		t.Error("a missed tick was made up for")
+		t.Error("a missed tick was sent later")
 	default:
 	}
 }
 
-// TestTimer checks timers, tickers and Sleep without any sleep of the machine.
+// TestTimer checks timers, tickers and Sleep on the real clock, without a suspend.
 func TestTimer(t *testing.T) {
 	c, err := New()
 	if err != nil {
@@ -114,15 +115,15 @@
 	before := c.Now()
 	c.Sleep(time.Millisecond)
 	if c.Since(before) < time.Millisecond {
-		t.Error("Sleep came back too early")
+		t.Error("Sleep returned too early")
 	}
 	timer := c.NewTimer(time.Hour)
 	if !timer.Reset(time.Millisecond) {
-		t.Error("the timer did not run")
+		t.Error("Reset reported that the timer was not running")
 	}
 	<-timer.Chan()
 	if timer.Reset(time.Hour) {
-		t.Error("the timer still ran")
+		t.Error("Reset reported that the timer was still running after it fired")
 	}
 	timer.Stop()
 	tick := c.NewTicker(time.Millisecond)
@@ -131,12 +132,12 @@
 	tick.Reset(time.Hour)
 	tick.Stop()
 	if n := len(c.timers); n != 0 {
-		t.Errorf("%d timers are left", n)
+		t.Errorf("%d timers are still registered", n)
 	}
 }
 
-// BenchmarkNow tells what a reading costs: 86 ns by time.Now before, which stands still in a sleep; 284 ns by
-// CLOCK_BOOTTIME, a system call.
+// BenchmarkNow compares the cost of a reading: 284 ns by CLOCK_BOOTTIME, which is a system call, and 86 ns by time.Now,
+// which does not advance during a suspend.
 func BenchmarkNow(b *testing.B) {
 	c, err := New()
 	if err != nil {
--- a/io/boottime/context.go
+++ b/io/boottime/context.go
@@ -7,9 +7,9 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// WithTimeout returns a context that ends after a time by a clock; its cause is
-// context.DeadlineExceeded then. Unlike one with a deadline it hands no moment of the clock to
-// libraries, which would compare it with the time of day.
+// WithTimeout returns a context that is canceled with the cause context.DeadlineExceeded after d by the given clock.
+// Unlike context.WithTimeout it sets no deadline, because libraries would compare a time of this clock with the
+// time of day.
 func WithTimeout(parent context.Context, clock clockwork.Clock, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	timer := clock.AfterFunc(d, func() { cancel(context.DeadlineExceeded) })
--- a/io/boottime/doc.go
+++ b/io/boottime/doc.go
@@ -1,9 +1,9 @@
-// Package boottime is a clock that counts the time for which the machine was suspended.
+// Package boottime provides a clock that includes the time for which the machine was suspended.
 //
-// The problem: the clock by which Go measures spans and lets timers fire stands still while a machine is
-// suspended. After the wake, whatever was believed before looks as young as it was then: a lease that
-// ran out, a report, a deadline. The model: [Clock] implements the clock that all programs take, and reads
-// the kernel's CLOCK_BOOTTIME, which goes on. Each reading compares it with the clock that stood
-// still; where they have drifted apart, timers that are due fire at once, the others are set anew, and
-// those who asked for it are told how long the machine slept. Steps of the time of day change nothing.
+// Go's monotonic clock, on which durations and timers are based, stands still during a suspend. After the resume, leases,
+// reports and deadlines would look as recent as before it, although they have expired. [Clock] implements
+// clockwork.Clock, which all programs of this repository take, on the kernel's CLOCK_BOOTTIME, which does not stand
+// still. Each reading compares the two clocks. If they have drifted apart, the machine was suspended: timers that are due
+// fire at once, the others are re-armed, and functions registered with [Clock.OnWake] are called with the duration.
+// Changes of the time of day have no effect.
 package boottime
--- a/io/boottime/use_test.go
+++ b/io/boottime/use_test.go
@@ -11,11 +11,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// otherClocks are ways to read or wait by a clock that stands still in a sleep, or that is stepped.
+// otherClocks matches calls that read or wait on a clock that stands still during a suspend or is set by hand.
 var otherClocks = regexp.MustCompile(`\btime\.(Now|Since|Until|After|AfterFunc|NewTimer|NewTicker|Tick|Sleep)\(|clockwork\.(With(Deadline|Timeout)|NewRealClock)\(`)
 
-// allowed are the files that may, with the reason.
-var allowed = map[string]string{
+// allowedFiles lists the files that may use other clocks, with the reason.
+var allowedFiles = map[string]string{
 	"cmd/olivetiller/hosted.go": "where the kernel has no such clock",
 	"cmd/olivetiller/keys.go":   "certificates are valid by the time of day",
 	"cmd/olivetiller/node.go":   "nodes on the brief's log judge keys by the time of day",
@@ -27,11 +27,11 @@
 	"platform/verdicts.go":      "what outlasts all machines is kept by the time of day",
 }
 
-// apart are folders of tools and stand-ins.
-var apart = []string{"cmd/olivebench", "internal/bench", "internal/demo", "platform/standin", "platform/soak", "platform/rounds", "platform/days", "standin"}
+// uncheckedFolders lists the folders of tools and stand-ins, which are not checked.
+var uncheckedFolders = []string{"cmd/olivebench", "internal/bench", "internal/demo", "platform/standin", "platform/soak", "platform/rounds", "platform/days", "standin"}
 
-// TestNoOtherClock finds programs that read another clock: what they believe would look too young after a
-// sleep.
+// TestNoOtherClock guards against programs that read another clock: after a suspend of the machine, their state would
+// look too recent.
 func TestNoOtherClock(t *testing.T) {
 	root := filepath.Join("..", "..")
 	var found []string
@@ -45,7 +45,7 @@
 		}
 		name = filepath.ToSlash(name)
 		if d.IsDir() {
-			for _, folder := range apart {
+			for _, folder := range uncheckedFolders {
 				if name == folder {
 					return fs.SkipDir
 				}
@@ -55,7 +55,7 @@
 			}
 			return nil
 		}
-		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") || allowed[name] != "" {
+		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") || allowedFiles[name] != "" {
 			return nil
 		}
 		raw, err := os.ReadFile(path)
@@ -71,6 +71,6 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]string(nil), found); diff != "" {
-		t.Errorf("files that read another clock: take the clock that is passed in (-want +got):\n%s", diff)
+		t.Errorf("files that use another clock; use the clock that is passed in (-want +got):\n%s", diff)
 	}
 }
--- a/io/node/client.go
+++ b/io/node/client.go
@@ -16,11 +16,11 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// ErrUnreachable is returned when a peer gave no answer.
-var ErrUnreachable = eris.New("the peer did not answer; what it was asked may have taken effect")
+// ErrUnreachable is returned if no answer of the peer arrived. The request may have taken effect.
+var ErrUnreachable = eris.New("the peer did not answer; the request may have taken effect")
 
-// maxMessage bounds a message between nodes.
-const maxMessage = 64 << 20
+// maxMessageBytes bounds a request or answer between nodes, in bytes.
+const maxMessageBytes = 64 << 20
 
 func quicConfig() *quic.Config {
 	return &quic.Config{
@@ -30,27 +30,25 @@
 	}
 }
 
-// Traffic counts what a node and its peers say to each other.
+// Traffic counts the requests that a node sends to its peers, and their answers.
 type Traffic struct {
-	// Messages counts requests sent; Sent and Received their bytes and those of
-	// the answers, without QUIC's own.
+	// Messages counts answered requests. Sent and Received are the bytes of these requests and their answers, without
+	// the overhead of QUIC.
 	Sent, Received, Messages atomic.Int64
-	// WireSent and WireReceived are the bytes of closed connections with all
-	// that QUIC adds.
+	// WireSent and WireReceived are the bytes of closed connections, including the overhead of QUIC.
 	WireSent, WireReceived atomic.Int64
-	// Dials counts connections begun.
+	// Dials counts the connections that were established.
 	Dials atomic.Int64
 }
 
-// closed adds a connection's bytes to the totals.
-func (t *Traffic) closed(conn *quic.Conn) {
+// addClosed adds the bytes of a closed connection to the totals.
+func (t *Traffic) addClosed(conn *quic.Conn) {
 	st := conn.ConnectionStats()
 	t.WireSent.Add(int64(st.BytesSent))
 	t.WireReceived.Add(int64(st.BytesReceived))
 }
 
-// Wire returns the bytes of all connections that this node began, with all that
-// QUIC adds.
+// Wire returns the bytes of all connections that this node opened, both open and closed, including the overhead of QUIC.
 func (c *Client) Wire() (sent, received int64) {
 	sent, received = c.Traffic.WireSent.Load(), c.Traffic.WireReceived.Load()
 	c.mu.Lock()
@@ -63,7 +61,7 @@
 	return sent, received
 }
 
-// Client sends requests to peers. It is safe for concurrent use.
+// Client sends requests to peers. It keeps one connection to each of them and is safe for concurrent use.
 type Client struct {
 	self    ledger.NodeRef
 	tls     *tls.Config
@@ -73,12 +71,13 @@
 	conns map[string]*quic.Conn
 }
 
-// NewClient returns a client that speaks as self.
+// NewClient returns a client that sends requests in the name of self. The certificate in cfg must carry that name.
 func NewClient(self ledger.NodeRef, cfg *tls.Config) *Client {
 	return &Client{self: self, tls: cfg, Traffic: &Traffic{}, conns: make(map[string]*quic.Conn)}
 }
 
-// Call sends a request to the named peer at an address and returns the answer.
+// Call sends a request to the named peer at an address and returns its answer. It returns ErrUnreachable if the peer
+// cannot be reached, refuses the request or does not answer.
 func (c *Client) Call(ctx context.Context, name, address string, req *pb.PeerRequest) (*pb.PeerResponse, error) {
 	req.Node = c.self.Node
 	req.Incarnation = c.self.Incarnation
@@ -116,7 +115,7 @@
 	if err := stream.Close(); err != nil {
 		return nil, eris.Wrap(ErrUnreachable, err.Error())
 	}
-	answer, err := io.ReadAll(io.LimitReader(stream, maxMessage))
+	answer, err := io.ReadAll(io.LimitReader(stream, maxMessageBytes))
 	if err != nil {
 		return nil, eris.Wrap(ErrUnreachable, err.Error())
 	}
@@ -130,7 +129,7 @@
 	return &resp, nil
 }
 
-// conn returns the connection to a peer, dialing if there is none.
+// conn returns the connection to a peer. It dials if there is none, if it was closed, or if it is to another address.
 func (c *Client) conn(ctx context.Context, name, address string) (*quic.Conn, error) {
 	c.mu.Lock()
 	conn := c.conns[name]
@@ -150,7 +149,7 @@
 	c.mu.Unlock()
 	c.Traffic.Dials.Add(1)
 	if old != nil {
-		c.Traffic.closed(old)
+		c.Traffic.addClosed(old)
 		_ = old.CloseWithError(0, "replaced")
 	}
 	return conn, nil
@@ -160,13 +159,13 @@
 	c.mu.Lock()
 	if c.conns[name] == conn {
 		delete(c.conns, name)
-		c.Traffic.closed(conn)
+		c.Traffic.addClosed(conn)
 	}
 	c.mu.Unlock()
 	_ = conn.CloseWithError(0, "failed")
 }
 
-// Close ends every connection.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/io/node/doc.go
+++ b/io/node/doc.go
@@ -1,9 +1,9 @@
-// Package node speaks to the other nodes of the fleet.
+// Package node implements the requests between the nodes of a fleet over QUIC.
 //
-// The problem: nodes pass on evidence, demand, records of the log and answers,
-// over links that break, and a stranger must get nothing. The model: one QUIC
-// connection to a peer, kept while used; each request and its answer take one
-// stream, so that a slow answer holds up no other. Both sides prove by a
-// certificate of the fleet's authority which node they are, and a request in
-// another node's name is refused.
+// Nodes send each other evidence, demand, log records and answers over unreliable links, and must not answer a process
+// outside the fleet. A [Client] keeps one connection to each peer; each request and its answer use one stream, so that a
+// slow answer does not block others. Client and [Server] authenticate each other by certificates of the fleet's
+// authority, and the server refuses a request that names another node than the client's certificate.
+//
+// Package entry creates both; internal/control sends and handles the requests.
 package node
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -15,8 +15,8 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// keys returns the mutual TLS of a node of a fleet.
-func keys(t *testing.T, authority fleetkeys.Pair, name string) *tls.Config {
+// memberTLS returns a mutual TLS configuration with a certificate of the authority for a node name.
+func memberTLS(t *testing.T, authority fleetkeys.Pair, name string) *tls.Config {
 	t.Helper()
 	pair, err := fleetkeys.NewNode(authority, name, time.Now())
 	if err != nil {
@@ -29,9 +29,9 @@
 	return cfg
 }
 
-// TestWhoGetsAnAnswer calls a node as itself, as a stranger with another fleet's
-// certificate, and as a member that speaks in another's name.
-func TestWhoGetsAnAnswer(t *testing.T) {
+// TestOnlyMembersAreAnswered checks that a server answers a member of its fleet, and neither a process with a certificate of
+// another fleet nor a member that sends a request in another node's name.
+func TestOnlyMembersAreAnswered(t *testing.T) {
 	ours, err := fleetkeys.NewAuthority("ours", time.Now())
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	handled := make(chan string, 10)
-	srv, err := Listen("127.0.0.1:0", keys(t, ours, "a"), ledger.NodeRef{Node: "a", Incarnation: 7},
+	srv, err := Listen("127.0.0.1:0", memberTLS(t, ours, "a"), ledger.NodeRef{Node: "a", Incarnation: 7},
 		func(_ context.Context, from ledger.NodeRef, _ *pb.PeerRequest) *pb.PeerResponse {
 			handled <- from.Node
 			return &pb.PeerResponse{Body: &pb.PeerResponse_Ack{Ack: &pb.Ack{NextOffset: 5}}}
@@ -56,7 +56,7 @@
 	tests := []struct {
 		name      string
 		authority fleetkeys.Pair
-		// certificate and speaks are the name proven and the name claimed.
+		// certificate is the node name in the certificate, and speaks the one in the request.
 		certificate, speaks string
 		ok                  bool
 	}{
@@ -66,15 +66,15 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			cfg := keys(t, tc.authority, tc.certificate)
-			// The caller trusts anybody, so that it is the server that refuses.
+			cfg := memberTLS(t, tc.authority, tc.certificate)
+			// The client accepts any server, so that the refusal can only come from the server.
 			cfg.InsecureSkipVerify = true
 			c := NewClient(ledger.NodeRef{Node: tc.speaks, Incarnation: 1}, cfg)
 			defer c.Close()
 			resp, err := c.Call(ctx, "a", srv.Address(), &pb.PeerRequest{Body: &pb.PeerRequest_Ping{Ping: &pb.Ping{}}})
 			if !tc.ok {
 				if !errors.Is(err, ErrUnreachable) {
-					t.Errorf("answer %v, error %v; want none and unreachable", resp, err)
+					t.Errorf("answer %v, error %v; want no answer and ErrUnreachable", resp, err)
 				}
 				if len(handled) > 0 {
 					t.Error("the request was handled")
@@ -85,13 +85,13 @@
 				t.Errorf("answer %v, error %v", resp, err)
 			}
 			if from := <-handled; from != tc.certificate {
-				t.Errorf("handled as from %q", from)
+				t.Errorf("handler received the node name %q", from)
 			}
 		})
 	}
 }
 
-// FuzzDecode feeds the peers' decoder arbitrary bytes.
+// FuzzDecode checks that decode never accepts a request that names another node than the certificate.
 func FuzzDecode(f *testing.F) {
 	good, err := proto.Marshal(&pb.PeerRequest{Node: "b", Body: &pb.PeerRequest_Ping{Ping: &pb.Ping{}}})
 	if err != nil {
@@ -102,7 +102,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		req, err := decode(data, "b")
 		if err == nil && req.GetNode() != "b" {
-			t.Errorf("a request of %q passed for b's", req.GetNode())
+			t.Errorf("a request in the name of %q was accepted for b", req.GetNode())
 		}
 	})
 }
--- a/io/node/server.go
+++ b/io/node/server.go
@@ -14,10 +14,10 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Handler answers a peer's request; from is proven by its certificate.
+// Handler answers a peer's request. The node name in from has been checked against the peer's certificate.
 type Handler func(ctx context.Context, from ledger.NodeRef, req *pb.PeerRequest) *pb.PeerResponse
 
-// Server answers peers.
+// Server accepts connections of peers and passes their requests to a Handler.
 type Server struct {
 	self     ledger.NodeRef
 	listener *quic.Listener
@@ -25,19 +25,19 @@
 	logger   hclog.Logger
 }
 
-// Listen opens the address for peers.
+// Listen opens the UDP address for peers. The server answers in the name of self.
 func Listen(address string, cfg *tls.Config, self ledger.NodeRef, h Handler, logger hclog.Logger) (*Server, error) {
 	l, err := quic.ListenAddr(address, cfg, quicConfig())
 	if err != nil {
-		return nil, eris.Wrapf(err, "listen for peers on %s; set node.peerAddress to a free one", address)
+		return nil, eris.Wrapf(err, "listen for peers on %s; set node.peerAddress to a free address", address)
 	}
 	return &Server{self: self, listener: l, handler: h, logger: logger}, nil
 }
 
-// Address returns the address that is open.
+// Address returns the host and port on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve answers until the context ends.
+// Serve accepts connections until ctx is canceled or the server is closed.
 func (s *Server) Serve(ctx context.Context) {
 	for {
 		conn, err := s.listener.Accept(ctx)
@@ -48,7 +48,7 @@
 	}
 }
 
-// Close ends the server.
+// Close closes the listener.
 func (s *Server) Close() { _ = s.listener.Close() }
 
 func (s *Server) serveConn(ctx context.Context, conn *quic.Conn) {
@@ -70,7 +70,7 @@
 
 func (s *Server) serveStream(ctx context.Context, name string, stream *quic.Stream) {
 	defer stream.Close()
-	data, err := io.ReadAll(io.LimitReader(stream, maxMessage))
+	data, err := io.ReadAll(io.LimitReader(stream, maxMessageBytes))
 	if err != nil {
 		return
 	}
@@ -91,10 +91,10 @@
 	_, _ = stream.Write(answer)
 }
 
-// ErrWrongName is returned for a request in another node's name.
-var ErrWrongName = eris.New("the request is in another node's name; check the fleet's certificates")
+// ErrWrongName is returned for a request that names another node than the certificate of its sender.
+var ErrWrongName = eris.New("the request names another node than the sender's certificate; check the fleet's certificates")
 
-// decode reads a peer's request and checks that it speaks for itself.
+// decode decodes a peer's request and checks that it names the node of the certificate.
 func decode(data []byte, name string) (*pb.PeerRequest, error) {
 	var req pb.PeerRequest
 	if err := proto.Unmarshal(data, &req); err != nil {
