--- a/cmd/olivetiller/node.go
+++ b/cmd/olivetiller/node.go
@@ -49,7 +49,7 @@
 	}
 	select {
 	case <-signals:
-	case <-n.Asked():
+	case <-n.StopRequested():
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), s.StopTimeout)
 	defer cancel()
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,8 +1,8 @@
-// Package entry assembles one node of the system: an entry instance's process.
+// Package entry assembles a node that runs on the platform's append-only log: the process of one entry instance, which
+// takes requests from callers and sends them to endpoints.
 //
-// A node is a filter chain for requests (io/caller) and a set of controllers
-// for state (internal/control), joined by the view that the controllers publish
-// and the dispatcher that requests wait in. [Start] opens its addresses;
-// [Node.Stop] is the planned stop that cuts off no request; [Node.Kill] is what
-// a crash looks like, for tests.
+// A node joins the request path (io/caller, internal/traffic, io/endpoint) with the controllers of the fleet's state
+// (internal/control): the controllers publish a view, by which the dispatcher sends waiting requests. [Start] opens the
+// node's addresses, [Node.Stop] is the planned stop, which lets every request finish, and [Node.Kill] stops the node
+// like a crash, for tests. Command olivetiller and the tests' fleets call it.
 package entry
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -30,17 +30,17 @@
 	"olivetiller/io/operator"
 )
 
-// Options are what a node is made of beside its settings.
+// Options are the parts of a node that do not come from its settings.
 type Options struct {
 	Clock  clockwork.Clock
 	Logger hclog.Logger
-	// PeerTLS is the mutual TLS between nodes; nil reads it from the settings' files.
+	// PeerTLS is the mutual TLS configuration between nodes; if nil, it is read from the files in the settings.
 	PeerTLS *tls.Config
-	// Policy decides about keeping; nil takes the product's own.
+	// Policy decides which replicas are kept; if nil, the default policy is used.
 	Policy plan.Policy
 }
 
-// Node is one running node.
+// Node is a running node.
 type Node struct {
 	Settings Settings
 	Control  *control.Controller
@@ -56,14 +56,15 @@
 	listen   map[string]net.Listener
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
-	// asked is closed when somebody asks for a planned stop.
-	asked    chan struct{}
-	askOnce  sync.Once
-	ended    chan struct{}
-	stopOnce sync.Once
+	// stopRequested is closed once a planned stop has been requested.
+	stopRequested   chan struct{}
+	stopRequestOnce sync.Once
+	ended           chan struct{}
+	stopOnce        sync.Once
 }
 
-// Start opens the node's addresses and begins to run it.
+// Start opens the node's addresses and runs it until Stop or Kill. It returns an error if a key file is unusable or an
+// address cannot be opened.
 func Start(s Settings, o Options) (*Node, error) {
 	self := ledger.NodeRef{Node: s.Name, Incarnation: uint64(o.Clock.Now().UnixNano())}
 	peerTLS, err := peerTLS(s, o)
@@ -76,7 +77,7 @@
 	}
 	n := &Node{
 		Settings: s, logger: o.Logger.With("node", s.Name), clock: o.Clock,
-		listen: make(map[string]net.Listener), asked: make(chan struct{}), ended: make(chan struct{}),
+		listen: make(map[string]net.Listener), stopRequested: make(chan struct{}), ended: make(chan struct{}),
 	}
 	n.assemble(self, peerTLS, public, o)
 	if err := n.open(self, peerTLS); err != nil {
@@ -113,7 +114,7 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{pair}}, nil
 }
 
-// assemble joins the parts.
+// assemble creates the parts of the node and connects them.
 func (n *Node) assemble(self ledger.NodeRef, peerTLS, public *tls.Config, o Options) {
 	s := n.Settings
 	n.peers = node.NewClient(self, peerTLS)
@@ -137,14 +138,14 @@
 	}
 }
 
-// Names of the node's TCP addresses.
+// Keys of Node.listen, one for each TCP address of the node.
 const (
 	listenCaller   = "caller"
 	listenOperator = "operator"
 	listenMetrics  = "metrics"
 )
 
-// open opens the addresses.
+// open opens all addresses.
 func (n *Node) open(self ledger.NodeRef, peerTLS *tls.Config) error {
 	var err error
 	n.peerSrv, err = node.Listen(n.Settings.PeerAddress, peerTLS, self, n.Control.PeerHandler(n.Caller.Once), n.logger.Named("peer"))
@@ -159,21 +160,21 @@
 		}
 		l, err := net.Listen("tcp", address)
 		if err != nil {
-			return eris.Wrapf(err, "listen on %s; set node.%sAddress to a free one", address, name)
+			return eris.Wrapf(err, "listen on %s; set node.%sAddress to a free address", address, name)
 		}
 		n.listen[name] = l
 	}
 	return nil
 }
 
-// run starts every part.
+// run starts the controllers and the servers.
 func (n *Node) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	n.spawn(func() { n.Control.Run(ctx) })
 	n.spawn(func() { n.peerSrv.Serve(ctx) })
 	n.spawn(func() { _ = n.Caller.Serve(n.listen[listenCaller]) })
-	svc := &operator.Service{Clock: n.clock, Control: n.Control, Stop: n.AskStop}
+	svc := &operator.Service{Clock: n.clock, Control: n.Control, Stop: n.RequestStop}
 	n.operator = n.serveHTTP(listenOperator, svc.Handler(n.Settings.Operators))
 	if n.listen[listenMetrics] != nil {
 		n.metrics = n.serveHTTP(listenMetrics, n.metricsHandler())
@@ -203,7 +204,7 @@
 	return srv
 }
 
-// metricsHandler serves the metrics as one tree.
+// metricsHandler serves all metrics as one JSON tree at /debug/vars, and Runtime at /debug/runtime.
 func (n *Node) metricsHandler() http.Handler {
 	tree := new(expvar.Map).Init()
 	tree.Set("control", n.Control.Metrics.Tree())
@@ -217,13 +218,13 @@
 	})
 	mux.HandleFunc("GET /debug/runtime", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(runtimeNow())
+		_ = json.NewEncoder(w).Encode(readRuntime())
 	})
 	return mux
 }
 
-// PeerTraffic is what a node and its peers say to each other, in bytes, of the
-// connections that the node began.
+// PeerTraffic counts the requests of this node to its peers and their answers, on connections that this node opened. The
+// wire bytes include the overhead of QUIC.
 type PeerTraffic struct {
 	Messages     int64 `json:"messages"`
 	Sent         int64 `json:"sentBytes"`
@@ -233,7 +234,7 @@
 	Dials        int64 `json:"dials"`
 }
 
-// PeerTraffic returns the traffic between this node and its peers so far.
+// PeerTraffic returns the totals since the start of the node.
 func (n *Node) PeerTraffic() PeerTraffic {
 	t := n.peers.Traffic
 	sent, received := n.peers.Wire()
@@ -243,27 +244,26 @@
 	}
 }
 
-// CallerAddress returns the address that callers reach.
+// CallerAddress returns the host and port that serve callers.
 func (n *Node) CallerAddress() string { return n.listen[listenCaller].Addr().String() }
 
-// OperatorAddress returns the address that operators reach.
+// OperatorAddress returns the host and port that serve operators.
 func (n *Node) OperatorAddress() string { return n.listen[listenOperator].Addr().String() }
 
-// PeerAddress returns the address that other nodes reach.
+// PeerAddress returns the host and port that serve other nodes.
 func (n *Node) PeerAddress() string { return n.peerSrv.Address() }
 
-// Asked is closed when somebody asked for a planned stop.
-func (n *Node) Asked() <-chan struct{} { return n.asked }
+// StopRequested returns a channel that is closed once a planned stop has been requested.
+func (n *Node) StopRequested() <-chan struct{} { return n.stopRequested }
 
-// AskStop asks for a planned stop.
-func (n *Node) AskStop() { n.askOnce.Do(func() { close(n.asked) }) }
+// RequestStop requests a planned stop. The process that runs the node must then call Stop.
+func (n *Node) RequestStop() { n.stopRequestOnce.Do(func() { close(n.stopRequested) }) }
 
-// Stop is the planned stop. It tells the peers and the platform, goes on
-// accepting while the balancer may still send, waits until every request has
-// ended and the log has what this node has to say, and then ends the node. It
-// returns an error when requests were still in progress at the context's end.
+// Stop performs the planned stop. It announces the stop to the peers and the platform, accepts requests while the
+// balancer may still send them, waits until every request has finished and the log holds all records of this node, and
+// then ends the node. It returns an error if requests were still in progress when ctx ended.
 func (n *Node) Stop(ctx context.Context) error {
-	n.AskStop()
+	n.RequestStop()
 	n.Control.Stop(ctx)
 	select {
 	case <-n.clock.After(n.Settings.BalancerLag):
@@ -271,17 +271,17 @@
 	}
 	err := n.Caller.Shutdown(ctx)
 	if err != nil {
-		n.logger.Error("planned stop gave up on requests", "inProgress", n.Caller.Active(), "remedy", "raise times.stopTimeout")
+		n.logger.Error("planned stop timed out with requests in progress", "inProgress", n.Caller.Active(), "remedy", "raise times.stopTimeout")
 	}
 	if qerr := n.Control.Quiesce(ctx); qerr != nil {
-		n.logger.Warn("planned stop left decisions to other nodes", "error", qerr.Error())
+		n.logger.Warn("planned stop ended before all records were appended; other nodes decide instead", "error", qerr.Error())
 	}
 	n.Kill()
 	n.logger.Info("stopped")
 	return err
 }
 
-// Kill ends the node at once, as a crash does.
+// Kill stops the node immediately, like a crash, and aborts its requests.
 func (n *Node) Kill() {
 	n.stopOnce.Do(func() {
 		if n.cancel != nil {
--- a/internal/settings/address.go
+++ b/internal/settings/address.go
@@ -5,10 +5,10 @@
 	"net/netip"
 )
 
-// checkAddress accepts an IP number and a port: nodes look up no names.
+// checkAddress accepts an IP address with a port. Host names are rejected, because nodes do not resolve names.
 func checkAddress(v string) error {
 	if _, err := netip.ParseAddrPort(v); err != nil {
-		return fmt.Errorf("%q is not an IP number and port, as in 10.0.0.7:8080", v)
+		return fmt.Errorf("%q is not an IP address and port, as in 10.0.0.7:8080", v)
 	}
 	return nil
 }
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,8 +1,6 @@
-// Package settings reads the INI file that a node or a stand-in is started with.
+// Package settings reads the INI file that configures a process of the system.
 //
-// The problem: a process learns its addresses and data hall from its settings,
-// and a misspelt key must not be silently ignored. The model: a [Table] lists
-// every key with its default, unit and meaning and where its value goes. [Read]
-// fills the values, collects every fault with its line, and names the nearest
-// known key for an unknown one.
+// A [Table] lists every key with its default, unit and meaning, and with the function that stores its value.
+// [Table.Read] stores all values and reports every fault of the file at once. An unknown key, such as a misspelt one, is
+// a fault that names the most similar known key. Package entry declares the table of a node.
 package settings
--- a/internal/settings/print.go
+++ b/internal/settings/print.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Print writes the table for people.
+// Print writes the table in aligned columns for display. It prints no values, so no secrets.
 func (t Table) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SETTING\tDEFAULT\tUNIT\tMEANING")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,28 +13,28 @@
 	"gopkg.in/ini.v1"
 )
 
-// Setting is one key of a settings file.
+// Setting describes one key of a settings file.
 type Setting struct {
 	Section, Key string
-	// Default is the value of an absent key; Required keys have none.
+	// Default is the value if the key is absent. A Required key has no default.
 	Default  string
 	Required bool
-	// Unit says what the value counts; empty for names and addresses.
+	// Unit is the unit of the value; empty for names and addresses.
 	Unit string
 	Help string
-	// Set parses a value into its place.
+	// Set parses a value and stores it.
 	Set func(value string) error
-	// Secret values are never printed.
+	// Secret marks a value that must not be printed.
 	Secret bool
 }
 
 // Name returns "section.key".
 func (s Setting) Name() string { return s.Section + "." + s.Key }
 
-// Table is the list of all keys of a kind of file.
+// Table lists all keys of one kind of settings file.
 type Table []Setting
 
-// Fault is one thing wrong with a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
 	File    string
 	Name    string
@@ -42,12 +42,12 @@
 	Remedy  string
 }
 
-// Error implements error.
+// Error returns the file, the setting, the problem and the remedy in one line.
 func (f Fault) Error() string {
 	return fmt.Sprintf("%s: %s: %s; %s", f.File, f.Name, f.Problem, f.Remedy)
 }
 
-// Read fills the table's values from a file. The error joins every [Fault].
+// Read stores the values of a file. The returned error joins all Faults.
 func (t Table) Read(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return t.Parse(path, data)
 }
 
-// Parse fills the table's values from the contents of a file.
+// Parse is like Read for the contents of a file; path is used in errors only.
 func (t Table) Parse(path string, data []byte) error {
 	file, err := ini.LoadSources(ini.LoadOptions{SpaceBeforeInlineComment: true}, data)
 	if err != nil {
@@ -66,7 +66,7 @@
 	known := make(map[string]bool, len(t))
 	for _, s := range t {
 		known[s.Name()] = true
-		if err := s.take(file); err != nil {
+		if err := s.apply(file); err != nil {
 			faults = append(faults, Fault{File: path, Name: s.Name(), Problem: err.Error(), Remedy: s.remedy()})
 		}
 	}
@@ -80,7 +80,7 @@
 
 var errMissing = errors.New("the setting is missing")
 
-func (s Setting) take(file *ini.File) error {
+func (s Setting) apply(file *ini.File) error {
 	value := s.Default
 	if file.Section(s.Section).HasKey(s.Key) {
 		value = strings.TrimSpace(file.Section(s.Section).Key(s.Key).String())
@@ -108,7 +108,7 @@
 	return out
 }
 
-// nearest returns the known name with the fewest edits.
+// nearest returns the known setting with the smallest edit distance to name.
 func (t Table) nearest(name string) string {
 	best, bestEdits := "", 1<<30
 	for _, s := range t {
@@ -119,7 +119,7 @@
 	return best
 }
 
-// Text is a setting that is any text.
+// Text returns a Set function that accepts any text.
 func Text(into *string) func(string) error {
 	return func(v string) error {
 		*into = v
@@ -127,7 +127,7 @@
 	}
 }
 
-// Address is a setting that is a host by number and a port.
+// Address returns a Set function that accepts an IP address with a port, or an empty value.
 func Address(into *string) func(string) error {
 	return func(v string) error {
 		if v == "" {
@@ -142,7 +142,7 @@
 	}
 }
 
-// Duration is a setting that is a time such as 250ms or 10s, at least least.
+// Duration returns a Set function that accepts a duration such as 250ms or 10s that is not below least.
 func Duration(into *time.Duration, least time.Duration) func(string) error {
 	return func(v string) error {
 		d, err := time.ParseDuration(v)
@@ -157,7 +157,7 @@
 	}
 }
 
-// Whole is a setting that is a whole number, at least least.
+// Whole returns a Set function that accepts a decimal integer that is neither negative nor below least.
 func Whole[T int | int64 | uint64](into *T, least T) func(string) error {
 	return func(v string) error {
 		n, err := strconv.ParseInt(v, 10, 64)
@@ -172,7 +172,7 @@
 	}
 }
 
-// Number is a setting that is a number, 0 or more.
+// Number returns a Set function that accepts a decimal number that is not negative.
 func Number(into *float64) func(string) error {
 	return func(v string) error {
 		n, err := strconv.ParseFloat(v, 64)
@@ -184,7 +184,7 @@
 	}
 }
 
-// Choice is a setting that is one of a few words.
+// Choice returns a Set function that accepts one of the given words.
 func Choice(into *string, words ...string) func(string) error {
 	return func(v string) error {
 		for _, w := range words {
