--- a/io/engine/engine.go
+++ b/io/engine/engine.go
@@ -1,16 +1,13 @@
-// Package engine gives orders to model engines and reads their status.
+// Package engine sends load and unload orders to model engines and reads their status.
 //
-// The problem: an order may be refused for its fence, may fail, may outlast the
-// executor's patience, or may have taken effect though no answer came. The
-// model: [Client.Load] and [Client.Unload] return nil when the engine confirmed
-// the effect, and otherwise an error of one of four kinds that say what the
-// executor may conclude.
+// An engine may refuse an order for its fence, may fail, may take longer than the caller waits, or may have executed the
+// order although no answer arrived. [Client.Load] and [Client.Unload] return nil once the engine has confirmed the
+// effect, and otherwise one of four errors that state what the caller may conclude. Package internal/control uses the
+// client.
 //
-// The protocol: GET /engine/status; POST /engine/load and /engine/unload with
-// the order as JSON answer 204 when the effect has taken place, 409 with
-// "staleFence" or "wrongIncarnation" when the order was refused, and any other
-// status when it had no effect. Requests for completions go through package
-// endpoint.
+// The protocol: GET /engine/status returns a [Status]. POST /engine/load and /engine/unload with an [Order] as JSON answer
+// 204 once the order has taken effect, 409 with "staleFence" or "wrongIncarnation" if the order was refused, 503 if its
+// effect is unknown, and any other status if it had no effect. Completion requests go through package endpoint.
 package engine
 
 import (
@@ -26,37 +23,37 @@
 
 // Errors of an order.
 var (
-	// ErrStaleFence: the engine has seen a higher fence; take the order over.
-	ErrStaleFence = eris.New("the engine has seen a higher fence; a takeover gives the order a new one")
-	// ErrReplaced: the engine is a new incarnation and has nothing loaded.
-	ErrReplaced = eris.New("the engine was replaced; it will be registered anew")
-	// ErrNoEffect: the engine answered that the order had no effect.
-	ErrNoEffect = eris.New("the engine could not carry the order out; see its cause")
-	// ErrUnknown: no answer came; the order may have taken effect.
+	// ErrStaleFence means that the engine has seen an order with a higher fence and refused this one.
+	ErrStaleFence = eris.New("the engine has seen a higher fence; the order must be taken over with a new fence")
+	// ErrReplaced means that the engine restarted as a new incarnation, which holds no models.
+	ErrReplaced = eris.New("the engine was replaced; it will be registered again")
+	// ErrNoEffect means that the engine answered that the order had no effect.
+	ErrNoEffect = eris.New("the engine could not execute the order; see the cause")
+	// ErrUnknown means that no conclusive answer arrived, so the order may have taken effect.
 	ErrUnknown = eris.New("the engine did not answer; the order is repeated until it does")
 )
 
-// Order is a load or unload.
+// Order is the body of a load or unload order.
 type Order struct {
 	Unit    string `json:"unit"`
 	Version string `json:"version"`
-	// Base is set for an adapter.
+	// Base is the base model if the unit is an adapter.
 	Base  string `json:"base,omitempty"`
 	Bytes uint64 `json:"bytes"`
-	// Fence is the order's fencing number.
+	// Fence is the fencing token of the order; engines refuse an order with a lower one than they have seen.
 	Fence uint64 `json:"fence"`
-	// Incarnation is that of the engine the order is for.
+	// Incarnation is the incarnation of the engine that the order is meant for.
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Unit is one unit in an engine's status.
+// Unit is the state of one unit in an engine's status.
 type Unit struct {
 	Unit    string `json:"unit"`
 	Version string `json:"version"`
 	Phase   string `json:"phase"`
 }
 
-// Status is what an engine says of itself.
+// Status is the state that an engine reports.
 type Status struct {
 	Instance     string   `json:"instance"`
 	Incarnation  uint64   `json:"incarnation"`
@@ -72,17 +69,17 @@
 
 const maxStatusBytes = 1 << 20
 
-// Client speaks to engines. It is safe for concurrent use.
+// Client calls engines. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient returns a client.
+// NewClient returns a client with its own connection pool.
 func NewClient() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 }
 
-// Status asks an engine for its status.
+// Status returns an engine's status, or ErrUnknown.
 func (c *Client) Status(ctx context.Context, address string) (Status, error) {
 	var st Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/engine/status", nil)
@@ -103,12 +100,12 @@
 	return st, nil
 }
 
-// Load orders a load and returns when it has ended.
+// Load orders an engine to load a unit, and returns once the engine has confirmed or refused it or ctx ends.
 func (c *Client) Load(ctx context.Context, address string, o Order) error {
 	return c.order(ctx, address, "load", o)
 }
 
-// Unload orders an unload and returns when the engine has freed the memory.
+// Unload orders an engine to unload a unit, and returns once the engine has freed the memory.
 func (c *Client) Unload(ctx context.Context, address string, o Order) error {
 	return c.order(ctx, address, "unload", o)
 }
@@ -122,18 +119,17 @@
 	if err != nil {
 		return eris.Wrap(err, verb)
 	}
-	// Without it net/http could send the order again by itself, after the
-	// lease has ended.
+	// With GetBody set, net/http could repeat the order on its own after the lease has expired.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return eris.Wrap(ErrUnknown, err.Error())
 	}
 	defer resp.Body.Close()
-	return outcome(resp)
+	return responseError(resp)
 }
 
-func outcome(resp *http.Response) error {
+func responseError(resp *http.Response) error {
 	if resp.StatusCode == http.StatusNoContent {
 		return nil
 	}
@@ -144,7 +140,7 @@
 	cause := strings.TrimSpace(string(text))
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		// A gateway or a full engine may say so after passing the order on.
+		// A gateway, or an engine at capacity, may answer so after the order was passed on.
 		return eris.Wrap(ErrUnknown, cause)
 	case cause == "staleFence":
 		return eris.Wrap(ErrStaleFence, cause)
--- a/io/instancelist/instancelist.go
+++ b/io/instancelist/instancelist.go
@@ -1,9 +1,8 @@
-// Package instancelist reads the platform's list of live and leaving instances.
+// Package instancelist is the client of the platform's list of running and draining instances.
 //
-// The list lags, so it is evidence and not truth: what leaves may be missing
-// from it, and what is gone may still be in it. The protocol: GET /instances
-// answers {"instances": [...]}; PUT /instances/{id}/state with {"state"} says
-// that an instance is leaving.
+// The list lags behind, so callers treat it as evidence only: a new instance may be missing and a stopped one may still
+// be listed. The protocol: GET /instances answers {"instances": [...]}; PUT /instances/{id}/state with {"state"}
+// announces that an instance is draining.
 package instancelist
 
 import (
@@ -20,45 +19,45 @@
 // Kind is the kind of an instance.
 type Kind string
 
-// Kinds.
+// The kinds of instances.
 const (
 	KindNode    Kind = "node"
 	KindEngine  Kind = "engine"
 	KindService Kind = "service"
 )
 
-// StateLeaving marks an instance that takes no new work.
+// StateLeaving is the state of a draining instance, which takes no new requests.
 const StateLeaving = "leaving"
 
 // Instance is one entry of the list.
 type Instance struct {
 	ID   string `json:"id"`
 	Kind Kind   `json:"kind"`
-	// Service names the plain service of a KindService instance.
+	// Service is the name of the plain service that a KindService instance serves.
 	Service string `json:"service,omitempty"`
-	// Address is host and port; of a node, where its peers reach it.
+	// Address is the host and port of the instance; for a node, its address for peers.
 	Address string `json:"address"`
 	Hall    string `json:"hall"`
 	State   string `json:"state"`
 }
 
-// ErrUnavailable is returned when the list cannot be read.
-var ErrUnavailable = eris.New("the instance list is unavailable; the last one read stays in use")
+// ErrUnavailable is returned if the list service fails or does not answer.
+var ErrUnavailable = eris.New("the instance list is unavailable; the last list that was read stays in use")
 
 const maxListBytes = 32 << 20
 
-// Client reads the list.
+// Client reads the list and announces draining instances. It is safe for concurrent use.
 type Client struct {
 	address string
 	http    *http.Client
 }
 
-// NewClient returns a client of the list at address, host and port.
+// NewClient returns a client of the list service at an address, given as host and port.
 func NewClient(address string) *Client {
 	return &Client{address: address, http: &http.Client{}}
 }
 
-// List returns the list as it shows now.
+// List returns the current contents of the list, or ErrUnavailable.
 func (c *Client) List(ctx context.Context) ([]Instance, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+"/instances", nil)
 	if err != nil {
@@ -73,7 +72,7 @@
 	return answer.Instances, nil
 }
 
-// SayLeaving tells the platform that an instance is leaving.
+// SayLeaving announces to the platform that an instance is draining.
 func (c *Client) SayLeaving(ctx context.Context, id string) error {
 	body, err := json.Marshal(struct {
 		State string `json:"state"`
--- a/io/logservice/appender.go
+++ b/io/logservice/appender.go
@@ -13,35 +13,33 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// ErrBacklog is returned when too many records wait for the log.
-var ErrBacklog = eris.New("too many records wait for the log service; come back when it is reachable")
+// ErrBacklog is returned by Submit if too many records wait to be appended.
+var ErrBacklog = eris.New("too many records wait for the log service; try again when it is reachable")
 
-// Bounds of an appender.
+// Limits and timeouts of an appender. An append is retried with exponential backoff from minBackoff to maxBackoff.
 const (
 	maxBacklog      = 20000
 	maxBatchRecords = 500
 	maxBatchBytes   = 256 << 10
 	appendTimeout   = 3 * time.Second
-	firstRetry      = 20 * time.Millisecond
-	lastRetry       = time.Second
+	minBackoff      = 20 * time.Millisecond
+	maxBackoff      = time.Second
 )
 
-// Appended is called with each batch that the log has confirmed.
+// Appended is called after each confirmed append, with the offset and the encoded batch.
 type Appended func(offset uint64, data []byte)
 
-// Appender groups records into appends. It is safe for concurrent use.
+// Appender appends a node's records to a stream of the log, in batches. It is safe for concurrent use.
 //
-// Invariant: a record is given to the log only after every record with a lower
-// sequence is known to be on it. That is what lets the fold tell a repeat from
-// a new record by the sequence alone.
+// Invariant: a record is sent to the log only after every record with a lower sequence number is confirmed. That is
+// why the fold, which applies the log's records, can recognize a repeated record by its sequence number alone.
 type Appender struct {
 	node        string
 	incarnation uint64
 	client      *Client
 	clock       clockwork.Clock
 	appended    Appended
-	// pause is the least time between two appends, so that all nodes together
-	// stay within what the log takes.
+	// pause is the time between two appends, which keeps the rate of all nodes together below the log's limit.
 	pause time.Duration
 
 	mu       sync.Mutex
@@ -51,7 +49,7 @@
 	wake     chan struct{}
 }
 
-// NewAppender returns an appender for one incarnation of a node.
+// NewAppender returns an appender for one incarnation of a node. Records are sent while Run is running.
 func NewAppender(node string, incarnation uint64, client *Client, clock clockwork.Clock, pause time.Duration, appended Appended) *Appender {
 	return &Appender{
 		node: node, incarnation: incarnation, client: client, clock: clock,
@@ -59,7 +57,8 @@
 	}
 }
 
-// Submit queues a record and returns its sequence.
+// Submit assigns node, sequence number and time to a record, queues it, and returns the sequence number. It returns
+// ErrBacklog if the queue is full.
 func (a *Appender) Submit(r *pb.Record) (uint64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,8 +78,8 @@
 	return r.Sequence, nil
 }
 
-// Withdraw takes a record back; it reports false when the record has been
-// given to the log already.
+// Withdraw removes a queued record. It returns false if the record is not in the queue, because it has been sent to the
+// log.
 func (a *Appender) Withdraw(sequence uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -93,21 +92,21 @@
 	return false
 }
 
-// Backlog returns how many records wait.
+// Backlog returns the number of queued records.
 func (a *Appender) Backlog() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.waiting)
 }
 
-// Quiet reports whether every record is known to be on the log.
+// Quiet reports whether the log has confirmed every submitted record.
 func (a *Appender) Quiet() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.waiting) == 0 && !a.inFlight
 }
 
-// Run appends until the context ends.
+// Run appends queued records until ctx ends.
 func (a *Appender) Run(ctx context.Context) {
 	for {
 		select {
@@ -126,7 +125,7 @@
 	}
 }
 
-// next takes the records of the next append.
+// next removes the records of the next batch from the queue; nil if the queue is empty.
 func (a *Appender) next() *pb.Batch {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -148,16 +147,14 @@
 	return b
 }
 
-// append repeats one append until it is answered. It reports false when the
-// context ended first.
+// append repeats an append with backoff until the log confirms it. It returns false if ctx ends first.
 func (a *Appender) append(ctx context.Context, b *pb.Batch) bool {
 	data, err := proto.Marshal(b)
 	if err != nil {
-		// Records are built by this program; one that cannot be encoded is a
-		// fault of the program and is not lost silently.
+		// This program builds all records, so one that cannot be encoded is a bug. Panic rather than lose it.
 		panic(err)
 	}
-	retry := firstRetry
+	retry := minBackoff
 	for {
 		actx, cancel := context.WithTimeout(ctx, appendTimeout)
 		offset, err := a.client.Append(actx, data)
@@ -171,6 +168,6 @@
 			return false
 		case <-a.clock.After(retry/2 + rand.N(retry)):
 		}
-		retry = min(2*retry, lastRetry)
+		retry = min(2*retry, maxBackoff)
 	}
 }
--- a/io/logservice/client.go
+++ b/io/logservice/client.go
@@ -13,10 +13,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrUnavailable is returned when the log does not take or give records.
-var ErrUnavailable = eris.New("the log service is unavailable; what runs goes on, decisions wait until it is back")
+// ErrUnavailable is returned if the log service fails or does not answer.
+var ErrUnavailable = eris.New("the log service is unavailable; loaded models keep serving, and decisions wait until it is back")
 
-// Record is one record as read.
+// Record is one entry of a stream.
 type Record struct {
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
@@ -24,30 +24,30 @@
 
 // Page is the answer to a read.
 type Page struct {
-	// Earliest is the first offset still kept.
+	// Earliest is the lowest offset that the log retains.
 	Earliest uint64 `json:"earliest"`
-	// Next is the offset that the next append will get.
+	// Next is the offset that the next appended record will get.
 	Next uint64 `json:"next"`
-	// Records holds what was kept from the offset asked for, without a gap.
+	// Records are the retained records from the requested offset on, without gaps.
 	Records []Record `json:"records"`
 }
 
-// maxPageBytes bounds an answer of the log.
+// maxPageBytes bounds an answer of the log service.
 const maxPageBytes = 64 << 20
 
-// Client is one stream of the log.
+// Client appends to and reads one stream of the log. It is safe for concurrent use.
 type Client struct {
 	address string
 	stream  string
 	http    *http.Client
 }
 
-// NewClient returns a client of a stream at address, host and port.
+// NewClient returns a client of a stream of the log service at an address, given as host and port.
 func NewClient(address, stream string) *Client {
 	return &Client{address: address, stream: stream, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}}
 }
 
-// Append appends a record. After an error the record may be on the log or not.
+// Append appends a record and returns its offset. After an error it is unknown whether the record is on the log.
 func (c *Client) Append(ctx context.Context, data []byte) (uint64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url(""), bytes.NewReader(data))
 	if err != nil {
@@ -62,10 +62,10 @@
 	return answer.Offset, nil
 }
 
-// Read returns the records from an offset on, waiting for the first if there
-// is none yet.
-func (c *Client) Read(ctx context.Context, from uint64, wait time.Duration, most int) (Page, error) {
-	q := fmt.Sprintf("?from=%d&max=%d&waitMs=%d", from, most, wait.Milliseconds())
+// Read returns up to maxRecords records from an offset on. If there is none yet, the log service waits up to wait for
+// the first.
+func (c *Client) Read(ctx context.Context, from uint64, wait time.Duration, maxRecords int) (Page, error) {
+	q := fmt.Sprintf("?from=%d&max=%d&waitMs=%d", from, maxRecords, wait.Milliseconds())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(q), nil)
 	if err != nil {
 		return Page{}, eris.Wrap(err, "read")
--- a/io/logservice/tail.go
+++ b/io/logservice/tail.go
@@ -8,42 +8,43 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Times of a tail.
+// Parameters of a tail: how long a read waits for the first record, the maximum number of records in a read, and the
+// mean backoff after a failed read.
 const (
-	tailWait  = 5 * time.Second
-	tailPage  = 500
-	tailRetry = 250 * time.Millisecond
+	tailWait        = 5 * time.Second
+	tailPageRecords = 500
+	tailBackoff     = 250 * time.Millisecond
 )
 
-// Reader takes what a tail reads.
+// Reader receives what Tail reads.
 type Reader interface {
-	// Next returns the offset to read from.
+	// Next returns the offset of the next read.
 	Next() uint64
-	// Page takes the answer to a read; err is set when the log did not answer.
+	// Page handles the answer to a read; err is set if the read failed.
 	Page(p Page, err error)
 }
 
-// Tail reads a stream on and on until the context ends, while wanted says so.
+// Tail reads a stream repeatedly until ctx ends. While wanted returns false, it polls wanted instead of the log.
 func Tail(ctx context.Context, c *Client, clock clockwork.Clock, r Reader, wanted func() bool) {
 	for ctx.Err() == nil {
 		if !wanted() {
-			pause(ctx, clock, tailRetry)
+			pause(ctx, clock, tailBackoff)
 			continue
 		}
 		rctx, cancel := context.WithTimeout(ctx, 2*tailWait)
-		p, err := c.Read(rctx, r.Next(), tailWait, tailPage)
+		p, err := c.Read(rctx, r.Next(), tailWait, tailPageRecords)
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
 		r.Page(p, err)
 		if err != nil {
-			pause(ctx, clock, tailRetry/2+rand.N(tailRetry))
+			pause(ctx, clock, tailBackoff/2+rand.N(tailBackoff))
 		}
 	}
 }
 
-// pause sleeps, or less if the context ends.
+// pause waits for d or until ctx ends.
 func pause(ctx context.Context, clock clockwork.Clock, d time.Duration) {
 	select {
 	case <-clock.After(d):
--- a/io/operator/auth.go
+++ b/io/operator/auth.go
@@ -15,18 +15,18 @@
 	"olivetiller/proto/olivetiller/v1/olivetillerv1connect"
 )
 
-// Role is what an operator may do.
+// Role is the set of procedures that an operator may call.
 type Role int
 
-// Roles.
+// The roles.
 const (
-	// Viewer may read.
+	// Viewer may call the procedures that only read.
 	Viewer Role = iota + 1
-	// Admin may also publish, drain and stop.
+	// Admin may also publish configurations, drain endpoints and stop the node.
 	Admin
 )
 
-// ParseRole returns the role with a name.
+// ParseRole returns the role named viewer or admin.
 func ParseRole(name string) (Role, error) {
 	switch name {
 	case "viewer":
@@ -34,10 +34,10 @@
 	case "admin":
 		return Admin, nil
 	}
-	return 0, fmt.Errorf("there is no role %q; use viewer or admin", name)
+	return 0, fmt.Errorf("role %q does not exist; use viewer or admin", name)
 }
 
-// Operator may call a node.
+// Operator is a person or program that may call a node's operator API.
 type Operator struct {
 	Name string
 	Role Role
@@ -45,28 +45,28 @@
 	TokenSHA256 string
 }
 
-// Errors of authorization.
+// Errors of authentication and authorization.
 var (
 	ErrNoToken = eris.New("no operator has this token; pass a valid one with --token or OLIVETILLER_TOKEN")
 	ErrRole    = eris.New("the operator's role does not allow this; ask an admin")
 )
 
-// reads are the procedures that a viewer may call.
-var reads = map[string]bool{
+// readProcedures are the procedures that only read, which a viewer may call.
+var readProcedures = map[string]bool{
 	olivetillerv1connect.OperatorServiceGetConfigProcedure:   true,
 	olivetillerv1connect.OperatorServiceWatchConfigProcedure: true,
 	olivetillerv1connect.OperatorServiceStatusProcedure:      true,
 }
 
-// authorize is an interceptor that checks token and role of every call.
-type authorize struct {
+// authInterceptor is a server interceptor that checks the bearer token and the operator's role for every call.
+type authInterceptor struct {
 	operators []Operator
 }
 
-var _ connect.Interceptor = (*authorize)(nil)
+var _ connect.Interceptor = (*authInterceptor)(nil)
 
-// WrapUnary implements connect.Interceptor.
-func (a *authorize) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
+// WrapUnary checks the call before it calls next.
+func (a *authInterceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		if err := a.check(req.Header(), req.Spec().Procedure); err != nil {
 			return nil, err
@@ -75,13 +75,13 @@
 	}
 }
 
-// WrapStreamingClient implements connect.Interceptor.
-func (a *authorize) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
+// WrapStreamingClient returns next unchanged, because the interceptor runs in servers only.
+func (a *authInterceptor) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return next
 }
 
-// WrapStreamingHandler implements connect.Interceptor.
-func (a *authorize) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
+// WrapStreamingHandler checks the call before it calls next.
+func (a *authInterceptor) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, conn connect.StreamingHandlerConn) error {
 		if err := a.check(conn.RequestHeader(), conn.Spec().Procedure); err != nil {
 			return err
@@ -90,7 +90,7 @@
 	}
 }
 
-func (a *authorize) check(h http.Header, procedure string) error {
+func (a *authInterceptor) check(h http.Header, procedure string) error {
 	token := strings.TrimPrefix(h.Get("Authorization"), "Bearer ")
 	sum := sha256.Sum256([]byte(token))
 	digest := hex.EncodeToString(sum[:])
@@ -98,7 +98,7 @@
 		if subtle.ConstantTimeCompare([]byte(o.TokenSHA256), []byte(digest)) != 1 {
 			continue
 		}
-		if o.Role < Admin && !reads[procedure] {
+		if o.Role < Admin && !readProcedures[procedure] {
 			return connect.NewError(connect.CodePermissionDenied, ErrRole)
 		}
 		return nil
--- a/io/operator/doc.go
+++ b/io/operator/doc.go
@@ -1,11 +1,10 @@
-// Package operator serves the operators, by the remote procedure calls of
-// proto/olivetiller/v1/operator.proto.
+// Package operator serves the operator API, which proto/olivetiller/v1/operator.proto defines.
 //
-// The problem: operators race each other, repeat calls whose answers were lost,
-// and must learn every fault of a configuration at once. The model: Publish
-// checks the whole, computes the change against the configuration in force and
-// proposes it on the log; the fold accepts it only on the base revision it was
-// made for. A repeat with the same change id is answered as the first was; a
-// loser of a race gets the typed detail Conflict with the current revision; a
-// configuration with faults gets one typed detail Fault for each.
+// Operators may publish concurrently, repeat calls whose answers were lost, and need all faults of a configuration at
+// once. [Service.Publish] checks the whole configuration, computes the change against the configuration in force, and
+// proposes it on the log. The fold, which applies the log's records, accepts the change only if its base revision is still
+// in force. A repeat with the same change ID gets the same answer as the first call; the loser of a race gets the error
+// detail Conflict with the current revision; an invalid configuration gets one error detail Fault for each fault.
+//
+// Package entry creates the service with [Control] implemented by internal/control.
 package operator
--- a/io/operator/operator.go
+++ b/io/operator/operator.go
@@ -16,20 +16,20 @@
 	"olivetiller/proto/olivetiller/v1/olivetillerv1connect"
 )
 
-// publishTimeout is the longest wait for the log to decide a publish.
+// publishTimeout bounds the wait until the log decides a proposed change.
 const publishTimeout = 8 * time.Second
 
-// Errors of publishing.
+// Errors of the operator API.
 var (
 	ErrFaults    = eris.New("the configuration has faults; correct each one listed")
-	ErrConflict  = eris.New("another configuration was published first; read it and publish on top of it")
-	ErrNoID      = eris.New("the publish has no change id; send a new one with each change, and the same one with a repeat")
-	ErrUndecided = eris.New("the log did not decide in time; repeat with the same change id to learn what became of it")
-	ErrNotReady  = eris.New("this node does not know the configuration in force yet; ask another")
-	ErrRejected  = eris.New("the log's fold rejected the record")
+	ErrConflict  = eris.New("another configuration was published first; read it and base the change on it")
+	ErrNoID      = eris.New("the publish has no change ID; send a new one with each change, and the same one with a repeat")
+	ErrUndecided = eris.New("the log did not decide in time; repeat the call with the same change ID to learn the outcome")
+	ErrNotReady  = eris.New("this node does not know the configuration in force yet; call another node")
+	ErrRejected  = eris.New("the change does not fit the state of the log and was rejected")
 )
 
-// Control is what the operators' calls act through.
+// Control is the part of the node's controller that the operator API uses.
 type Control interface {
 	Propose(ctx context.Context, r *pb.Record, late func(ledger.Outcome)) (ledger.Outcome, error)
 	View() *view.View
@@ -38,24 +38,24 @@
 	Status(ctx context.Context) *pb.StatusResponse
 }
 
-// Service implements the operators' RPC.
+// Service implements the operator API.
 type Service struct {
 	Clock   clockwork.Clock
 	Control Control
-	// Stop begins a planned stop of the node.
+	// Stop starts the planned stop of the node.
 	Stop func()
 }
 
 var _ olivetillerv1connect.OperatorServiceHandler = (*Service)(nil)
 
-// Handler returns the RPC's HTTP handler, open to the operators alone.
+// Handler returns the HTTP handler of the API, which answers only the given operators.
 func (s *Service) Handler(operators []Operator) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(olivetillerv1connect.NewOperatorServiceHandler(s, connect.WithInterceptors(&authorize{operators})))
+	mux.Handle(olivetillerv1connect.NewOperatorServiceHandler(s, connect.WithInterceptors(&authInterceptor{operators})))
 	return mux
 }
 
-// Publish implements the RPC.
+// Publish checks a configuration and puts it in force through the log. A dry run only performs the checks.
 func (s *Service) Publish(ctx context.Context, req *connect.Request[pb.PublishRequest]) (*connect.Response[pb.PublishResponse], error) {
 	m := req.Msg
 	if faults := catalog.Check(m.GetConfig()); len(faults) > 0 {
@@ -111,7 +111,7 @@
 	return err
 }
 
-// GetConfig implements the RPC.
+// GetConfig returns the configuration in force at the node, with its revision and age.
 func (s *Service) GetConfig(context.Context, *connect.Request[pb.GetConfigRequest]) (*connect.Response[pb.GetConfigResponse], error) {
 	return connect.NewResponse(s.config()), nil
 }
@@ -124,7 +124,7 @@
 	}
 }
 
-// WatchConfig implements the RPC.
+// WatchConfig sends the configuration in force, and then each later revision, until the caller cancels.
 func (s *Service) WatchConfig(ctx context.Context, _ *connect.Request[pb.WatchConfigRequest], stream *connect.ServerStream[pb.GetConfigResponse]) error {
 	sent := false
 	var last uint64
@@ -144,12 +144,12 @@
 	}
 }
 
-// Status implements the RPC.
+// Status returns the node's view of endpoints, units and the log.
 func (s *Service) Status(ctx context.Context, _ *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
 	return connect.NewResponse(s.Control.Status(ctx)), nil
 }
 
-// DrainEndpoint implements the RPC.
+// DrainEndpoint drains an endpoint through the log, or resumes it.
 func (s *Service) DrainEndpoint(ctx context.Context, req *connect.Request[pb.DrainEndpointRequest]) (*connect.Response[pb.DrainEndpointResponse], error) {
 	drain := &pb.EngineDrain{Engine: req.Msg.GetEndpoint(), Draining: !req.Msg.GetResume()}
 	pctx, cancel := context.WithTimeout(ctx, publishTimeout)
@@ -164,7 +164,7 @@
 	return connect.NewResponse(&pb.DrainEndpointResponse{}), nil
 }
 
-// StopNode implements the RPC.
+// StopNode starts the planned stop of the node and returns immediately.
 func (s *Service) StopNode(context.Context, *connect.Request[pb.StopNodeRequest]) (*connect.Response[pb.StopNodeResponse], error) {
 	s.Stop()
 	return connect.NewResponse(&pb.StopNodeResponse{}), nil
--- a/io/silence/silence.go
+++ b/io/silence/silence.go
@@ -1,5 +1,4 @@
-// Package silence gives a long answer up when nothing of it comes for a time,
-// however long it takes as a whole.
+// Package silence aborts the transfer of a long answer when it stalls, however long the transfer takes as a whole.
 //
 //	progress, stop := silence.Watch(cancel, time.Second, time.Second)
 //	defer stop()
@@ -11,19 +10,20 @@
 	"time"
 )
 
-// Watch calls f once nothing has come for a time: first at the beginning, then after each call of progress.
+// Watch returns a function to call on progress, and a function that ends the watch. It calls f once, in its own
+// goroutine, if there is no progress within first of the start or within then of the last progress.
 func Watch(f func(), first, then time.Duration) (progress func(), stop func() bool) {
 	t := time.AfterFunc(first, f)
 	return func() { t.Reset(then) }, t.Stop
 }
 
-// Reader calls Progress with each part that is read.
+// Reader wraps R and calls Progress after each read that returned data.
 type Reader struct {
 	R        io.Reader
 	Progress func()
 }
 
-// Read implements io.Reader.
+// Read reads from R.
 func (r Reader) Read(b []byte) (int, error) {
 	n, err := r.R.Read(b)
 	if n > 0 {
