--- a/core/oncekey/oncekey.go
+++ b/core/oncekey/oncekey.go
@@ -1,8 +1,8 @@
-// Package oncekey reads the keys of requests that may not be repeated.
+// Package oncekey parses the keys of requests that must run at most once.
 //
-// A key is a UUID version 7 (RFC 9562), because it carries the time it was made:
-// the claims of old keys can be forgotten and an old key still be told from a
-// new one. See package ledger for why that is safe whatever the clocks say.
+// A key is a UUID version 7 (RFC 9562), which contains its creation time. So claims of old keys can be deleted, and a
+// request with an old key is still told from one with a new key. Package ledger explains why this is safe whatever
+// the clocks show. Package io/caller parses the key of each such request.
 package oncekey
 
 import (
@@ -15,22 +15,23 @@
 	"olivetiller/core/refusal"
 )
 
-// MaxFuture is how far a key's time may lie ahead of the node's clock.
+// MaxFuture is how far the time in a key may be ahead of the node's clock.
 const MaxFuture = time.Minute
 
-// Key is a checked request key.
+// Key is a validated request key.
 type Key struct {
-	// ID is the digest under which the request is claimed. It covers the
-	// caller, so no caller can meet another's key.
+	// ID is the digest under which the request is claimed. It includes the caller's name, so that equal keys of
+	// different callers do not collide.
 	ID ledger.ClaimID
-	// Time is the time inside the key.
+	// Time is the creation time that the key contains.
 	Time time.Time
 }
 
-// Parse checks a caller's key against the node's clock.
+// Parse validates a caller's key at the time now. It returns a refusal: KeyMissing for an empty key, KeyInvalid for a key
+// that is not a UUID version 7 or too far in the future, and KeyExpired for a key older than ledger.ClaimWindow.
 func Parse(caller, raw string, now time.Time) (Key, error) {
 	if raw == "" {
-		return Key{}, refusal.New(refusal.KeyMissing, "the request may not be repeated and has no key")
+		return Key{}, refusal.New(refusal.KeyMissing, "the request must run at most once but has no key")
 	}
 	id, err := uuid.Parse(raw)
 	if err != nil || id.Version() != 7 {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,5 @@
-// Package client is a caller for the demo, the bench and tests. It checks every
-// token of every answer: its place, its model and its own prompt.
+// Package client is a caller for the demo, the benchmarks and tests. It checks every token of an answer by the rule with
+// which stand-in engines produce tokens: from the model, the prompt and the token's position.
 package client
 
 import (
@@ -19,14 +19,14 @@
 	"olivetiller/standin/site"
 )
 
-// Client sends requests as one caller.
+// Client sends requests in the name of one caller. It is safe for concurrent use.
 type Client struct {
 	HTTP   *http.Client
 	Caller string
 	Scheme string
 }
 
-// New returns a client for a stand-in caller.
+// New returns a client for a caller of the stand-in deployment.
 func New(name string) *Client {
 	return &Client{
 		HTTP:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}},
@@ -34,31 +34,31 @@
 	}
 }
 
-// Ask is one completion.
+// Ask is a chat completion request.
 type Ask struct {
 	Model   string
 	Prompt  string
 	Tokens  int
 	Stream  bool
 	Timeout time.Duration
-	// Key makes it a request that may not be repeated.
+	// Key is the request key of a request that must run at most once; empty if it may be repeated.
 	Key string
 }
 
-// Result is what came back.
+// Result is the checked answer to a request.
 type Result struct {
 	Status int
-	// Refusal is set for a problem+json answer.
+	// Refusal is set if the answer is of type application/problem+json.
 	Refusal *caller.Problem
-	// Tokens is how many tokens came, each checked.
+	// Tokens is the number of tokens that arrived and were correct.
 	Tokens int
-	// Whole is true when every token came, in order, and the end was marked.
+	// Whole is true if the answer is complete: all tokens arrived in order, followed by the end marker.
 	Whole bool
-	// Wrong says what was wrong with the answer, if anything.
+	// Wrong describes what was wrong with the answer; empty if nothing was.
 	Wrong string
-	// FirstToken and Took are counted from the sending of the request.
+	// FirstToken and Took are the times from the sending of the request to the first token and to the end.
 	FirstToken, Took time.Duration
-	// Err is a failure of the connection.
+	// Err is the connection error, if any.
 	Err  error
 	Body []byte
 }
@@ -66,7 +66,7 @@
 // Refused reports whether the answer is a typed refusal.
 func (r Result) Refused() bool { return r.Refusal != nil }
 
-// completionBody is the request in the OpenAI style.
+// completionBody is the request body in the format of the OpenAI API.
 type completionBody struct {
 	Model     string    `json:"model"`
 	MaxTokens int       `json:"max_tokens"`
@@ -79,7 +79,7 @@
 	Content string `json:"content"`
 }
 
-// Complete sends a chat completion to the node at an address.
+// Complete sends a chat completion request to the node at an address and checks the answer.
 func (c *Client) Complete(ctx context.Context, address string, a Ask) Result {
 	body, err := json.Marshal(completionBody{
 		Model: a.Model, MaxTokens: a.Tokens, Stream: a.Stream, Messages: []message{{"user", a.Prompt}},
@@ -105,7 +105,7 @@
 	return r
 }
 
-// Call sends a call to a plain service.
+// Call sends a request to a plain service through the node at an address. A key makes it run at most once.
 func (c *Client) Call(ctx context.Context, address, service, path string, timeout time.Duration, key string, body []byte) Result {
 	start := time.Now()
 	resp, r := c.send(ctx, address, "/services/"+service+path, timeout, key, body)
@@ -152,7 +152,7 @@
 	return true
 }
 
-// chunk is one event of a stream.
+// chunk is one event of a streamed answer, or a whole answer.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
--- a/internal/fleetkeys/fleetkeys.go
+++ b/internal/fleetkeys/fleetkeys.go
@@ -1,11 +1,10 @@
-// Package fleetkeys makes and reads the certificates by which nodes know each
-// other.
+// Package fleetkeys creates and reads the certificates by which the nodes of a fleet authenticate each other.
 //
-// The model: a fleet has one authority of its own; each node has a certificate
-// signed by it that carries the node's name. Both sides of a connection between
-// nodes present one, so a stranger gets nothing, and a node cannot speak under
-// another's name. Keys are ECDSA P-256; a certificate of a node lives for
-// [NodeLife] and is renewed by making a new one and replacing the node.
+// Each fleet has its own certificate authority, and each node a certificate signed by it that carries the node's name.
+// Both sides of a connection between nodes present a certificate, so a process outside the fleet gets no connection, and
+// a node cannot use another node's name. Keys are ECDSA P-256. A node's certificate is valid for [NodeValidity] and is
+// renewed by creating a new one and replacing the node. Command olivetiller keys creates the files; package entry reads
+// them.
 package fleetkeys
 
 import (
@@ -23,28 +22,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// Lives of certificates.
+// Validity periods of certificates.
 const (
-	AuthorityLife = 10 * 365 * 24 * time.Hour
-	NodeLife      = 90 * 24 * time.Hour
-	// backdate allows for clocks that differ.
+	AuthorityValidity = 10 * 365 * 24 * time.Hour
+	NodeValidity      = 90 * 24 * time.Hour
+	// backdate moves the start of the validity into the past, to tolerate clocks that differ.
 	backdate = time.Hour
 )
 
-// ErrKeys is returned for files that hold no usable key or certificate.
+// ErrKeys is returned for a missing or unusable certificate or key.
 var ErrKeys = eris.New("no usable certificate or key; make them with: olivetiller keys")
 
-// Pair is a certificate and its key, PEM encoded.
+// Pair is a certificate and its private key, both in PEM.
 type Pair struct {
 	Certificate, Key []byte
 }
 
-// NewAuthority makes the authority of a fleet.
+// NewAuthority creates the self-signed certificate authority of a fleet.
 func NewAuthority(fleet string, now time.Time) (Pair, error) {
 	tmpl := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: fleet + " fleet authority"},
 		NotBefore:             now.Add(-backdate),
-		NotAfter:              now.Add(AuthorityLife),
+		NotAfter:              now.Add(AuthorityValidity),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		KeyUsage:              x509.KeyUsageCertSign,
@@ -52,12 +51,12 @@
 	return sign(tmpl, nil)
 }
 
-// NewNode makes the certificate of one node.
+// NewNode creates a node's certificate, signed by the authority.
 func NewNode(authority Pair, node string, now time.Time) (Pair, error) {
 	tmpl := &x509.Certificate{
 		Subject:     pkix.Name{CommonName: node},
 		NotBefore:   now.Add(-backdate),
-		NotAfter:    now.Add(NodeLife),
+		NotAfter:    now.Add(NodeValidity),
 		DNSNames:    []string{node},
 		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
@@ -65,7 +64,7 @@
 	return sign(tmpl, &authority)
 }
 
-// sign makes a key for the template and signs it, by itself without a parent.
+// sign creates a key and a certificate from a template, signed by parent, or self-signed if parent is nil.
 func sign(tmpl *x509.Certificate, parent *Pair) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -108,7 +107,7 @@
 	return pair.Leaf, key, nil
 }
 
-// Read reads a pair from two files.
+// Read reads a pair from a certificate file and a key file.
 func Read(certificateFile, keyFile string) (Pair, error) {
 	cert, err := os.ReadFile(certificateFile)
 	if err != nil {
@@ -121,8 +120,8 @@
 	return Pair{Certificate: cert, Key: key}, nil
 }
 
-// MutualTLS returns the configuration with which a node serves and dials its
-// peers: both sides show a certificate of the authority.
+// MutualTLS returns the TLS configuration with which a node both serves and calls its peers. Both sides must present a
+// certificate of the authority.
 func MutualTLS(authorityCertificate []byte, node Pair) (*tls.Config, error) {
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authorityCertificate) {
--- a/internal/inbox/inbox.go
+++ b/internal/inbox/inbox.go
@@ -1,28 +1,26 @@
-// Package inbox carries messages to the one goroutine that owns a state.
+// Package inbox passes messages to the single goroutine that owns some state.
 //
-// The problem: readers, peers and timers learn things on goroutines of their own,
-// and only one goroutine may change the state. The model: they send messages; the
-// owner handles one, then what else waits, and only then acts, so that one step
-// serves all of them. A sender is held up while the inbox is full, until its context
-// or the owner ends.
+// Readers, peers and timers run on their own goroutines, but only the owner may change the state. They send messages to an
+// [Inbox]; the owner handles one, then all others that wait ([Inbox.Drain]), and only then acts, so that one step covers
+// all of them. A sender blocks while the inbox is full, until its context or the owner ends. Package
+// internal/placer uses it for its controller.
 package inbox
 
 import "context"
 
-// Inbox holds the messages of type M that wait for the owner.
+// Inbox is a bounded queue of messages of type M.
 type Inbox[M any] struct {
-	// C is what the owner receives from.
+	// C is the channel from which the owner receives.
 	C     chan M
 	ended chan struct{}
 }
 
-// New returns an inbox for a number of messages.
+// New returns an inbox that buffers up to size messages.
 func New[M any](size int) *Inbox[M] {
 	return &Inbox[M]{C: make(chan M, size), ended: make(chan struct{})}
 }
 
-// Send tells the owner something; it reports false when the context or the owner
-// has ended first.
+// Send queues a message and waits for space if the inbox is full. It returns false if ctx or the owner ends first.
 func (b *Inbox[M]) Send(ctx context.Context, m M) bool {
 	select {
 	case b.C <- m:
@@ -34,7 +32,7 @@
 	}
 }
 
-// Offer tells the owner something unless the inbox is full.
+// Offer queues a message unless the inbox is full, and reports whether it did.
 func (b *Inbox[M]) Offer(m M) bool {
 	select {
 	case b.C <- m:
@@ -44,7 +42,7 @@
 	}
 }
 
-// Drain handles what waits now.
+// Drain handles the queued messages, at most as many as the inbox can buffer.
 func (b *Inbox[M]) Drain(handle func(M)) {
 	for range cap(b.C) {
 		select {
@@ -56,5 +54,5 @@
 	}
 }
 
-// End lets all senders go. The owner calls it once, when it stops receiving.
+// End makes all current and later calls of Send return. The owner calls it once, when it stops receiving.
 func (b *Inbox[M]) End() { close(b.ended) }
--- a/internal/inbox/inbox_test.go
+++ b/internal/inbox/inbox_test.go
@@ -7,8 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestInbox checks the order of messages, and that nobody is held up by an owner that
-// has ended or a context that has.
+// TestInbox checks the order of messages, and that Send on a full inbox returns when its context or the owner has ended.
 func TestInbox(t *testing.T) {
 	b := New[int](2)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -18,7 +17,7 @@
 	}
 	cancel()
 	if b.Send(ctx, 4) {
-		t.Error("a message was sent to a full inbox")
+		t.Error("Send succeeded on a full inbox")
 	}
 	var got []int
 	b.Drain(func(m int) { got = append(got, m) })
@@ -28,6 +27,6 @@
 	full := New[int](0)
 	full.End()
 	if full.Send(t.Context(), 5) {
-		t.Error("a message was sent to an owner that has ended")
+		t.Error("Send succeeded after the owner ended")
 	}
 }
--- a/internal/logout/logout.go
+++ b/internal/logout/logout.go
@@ -1,9 +1,8 @@
-// Package logout writes log lines without ever holding up who logs.
+// Package logout provides an io.Writer for log lines that never blocks the caller.
 //
-// The problem: standard output may be slow or blocked, and a burst of requests
-// must not fill the memory with lines. The model: a [Writer] keeps a bounded
-// number of lines for one goroutine that writes them; what finds no room is
-// dropped, counted, and told in a line of its own once there is room again.
+// Standard output may be slow or blocked, and a burst of log lines must not exhaust the memory. A [Writer] queues a
+// bounded number of lines for a goroutine that writes them. Lines that do not fit are dropped and counted; once the
+// output accepts lines again, the count is written as a log line of its own. Command olivetiller logs through it.
 package logout
 
 import (
@@ -13,28 +12,27 @@
 	"sync/atomic"
 )
 
-// maxLines bounds the lines that wait: at some 300 bytes a line, about 0.6 MB.
+// maxLines bounds the queued lines. At about 300 bytes a line, they take about 0.6 MB.
 const maxLines = 2048
 
 // Writer is an io.Writer that never blocks. It is safe for concurrent use.
 type Writer struct {
 	lines   chan []byte
 	dropped atomic.Int64
-	// ending is closed when no more lines are taken.
+	// ending is closed once no more lines are accepted.
 	ending    chan struct{}
 	closeOnce sync.Once
 	done      sync.WaitGroup
 }
 
-// New returns a writer to w. Close ends it.
+// New returns a writer whose lines go to w until Close is called.
 func New(w io.Writer) *Writer {
 	o := &Writer{lines: make(chan []byte, maxLines), ending: make(chan struct{})}
 	o.done.Go(func() { o.run(w) })
 	return o
 }
 
-// Write implements io.Writer. It keeps a copy of one line, or drops it: for want of
-// room, or because the writer was closed.
+// Write queues a copy of a line. If the queue is full or the writer is closed, it drops the line. It never fails.
 func (o *Writer) Write(p []byte) (int, error) {
 	select {
 	case <-o.ending:
@@ -50,11 +48,10 @@
 	return len(p), nil
 }
 
-// Dropped returns how many lines were dropped and not told yet.
+// Dropped returns the number of dropped lines that have not been reported in the output yet.
 func (o *Writer) Dropped() int64 { return o.dropped.Load() }
 
-// Close writes what waits and ends the writer. Goroutines that still log may go
-// on: their lines are dropped.
+// Close writes the queued lines and ends the writer. Later lines are dropped.
 func (o *Writer) Close() {
 	o.closeOnce.Do(func() { close(o.ending) })
 	o.done.Wait()
@@ -82,6 +79,6 @@
 	if n := o.dropped.Swap(0); n > 0 {
 		line = fmt.Appendf(line, "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"count\":%d}\n", n)
 	}
-	// Nobody is left to tell that standard output is gone.
+	// If standard output is gone, there is nowhere to report it.
 	_, _ = w.Write(line)
 }
--- a/internal/metric/histogram.go
+++ b/internal/metric/histogram.go
@@ -1,5 +1,5 @@
-// Package metric holds the histogram that the metrics of the product share. It
-// is an expvar.Var over an HDR histogram: bounded memory, known precision.
+// Package metric provides the histogram that all metrics of the product use: an expvar.Var over an HDR histogram, which
+// has bounded memory and a known precision.
 package metric
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of a histogram: an hour in milliseconds, to two significant figures.
+// Range of a histogram, in milliseconds, and its precision in significant decimal digits. Longer times count as maxMs.
 const (
-	maxMs   = 3600 * 1000
-	figures = 2
+	maxMs             = 3600 * 1000
+	significantDigits = 2
 )
 
-// Histogram is a histogram of milliseconds that is safe for concurrent use.
+// Histogram counts durations in milliseconds. It is safe for concurrent use.
 type Histogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
@@ -23,18 +23,18 @@
 
 // NewHistogram returns an empty histogram.
 func NewHistogram() *Histogram {
-	return &Histogram{h: hdrhistogram.New(1, maxMs, figures)}
+	return &Histogram{h: hdrhistogram.New(1, maxMs, significantDigits)}
 }
 
-// Record notes a number of milliseconds.
+// Record adds a duration in milliseconds, clamped to the histogram's range.
 func (h *Histogram) Record(ms int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// The value is within the bounds, so recording cannot fail.
+	// RecordValue fails only for a value out of range, and the value is clamped.
 	_ = h.h.RecordValue(min(max(ms, 0), maxMs))
 }
 
-// Summary is what a histogram shows.
+// Summary is the JSON form of a histogram: the number of values, and percentiles and the maximum in milliseconds.
 type Summary struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50Ms"`
@@ -43,7 +43,7 @@
 	Max   int64 `json:"maxMs"`
 }
 
-// Summary returns the percentiles.
+// Summary returns the percentiles of all recorded values.
 func (h *Histogram) Summary() Summary {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -53,9 +53,8 @@
 	}
 }
 
-// Good returns how many values are at most bound milliseconds, and how many
-// there are in all.
-func (h *Histogram) Good(bound int64) (good, total int64) {
+// CountUpTo returns the number of values of at most bound milliseconds, and the number of all values.
+func (h *Histogram) CountUpTo(bound int64) (good, total int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, b := range h.h.Distribution() {
@@ -66,7 +65,7 @@
 	return good, h.h.TotalCount()
 }
 
-// String implements expvar.Var.
+// String returns the summary as JSON. It implements expvar.Var.
 func (h *Histogram) String() string {
 	data, err := json.Marshal(h.Summary())
 	if err != nil {
