--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -191,7 +191,7 @@
 
 func (n *Node) assemble(p Platform) {
 	s := n.s
-	life := lease.NewLife(s.Name)
+	incarnation := lease.NewLife(s.Name)
 	hooks := traffic.Hooks{
 		Waiting: func() { n.control.WakeDemand() },
 		Rare:    func() { n.control.WakeDemand() },
@@ -220,7 +220,7 @@
 	n.traffic = traffic.New(n.clock, s.Hall, queue.Limits{Items: queueItems, Bytes: queueBytes}, hooks)
 	n.traffic.SetRegions(s.Regions)
 	n.control = placer.New(placer.Options{
-		Self:  lease.Record{Holder: s.Name, Life: life, Address: s.PeerAddress},
+		Self:  lease.Record{Holder: s.Name, Life: incarnation, Address: s.PeerAddress},
 		Clock: n.clock, Logger: n.logger.Named("control"), Store: p.Store, Engines: p.Engines,
 		Peers: peers, Dispatcher: n.traffic, Isolation: n.isolation, Limits: s.Loads, Retries: s.Retries,
 		TakeoverDelay: takeoverDelay(s.Name, s.Cores), Hall: s.Hall, Strength: s.Cores * s.LinkMbps, Bound: s.Bound, Fenced: s.Fenced, Tolerance: s.Tolerance, Cold: s.Cold,
@@ -257,6 +257,7 @@
 // store rejects.
 const spreadDelay = 300 * time.Millisecond
 
+// takeoverDelay returns how much longer this node waits than the fastest one before it takes over the lease.
 func takeoverDelay(name string, cores float64) time.Duration {
 	spread := time.Duration(xxhash.Sum64String(name) % uint64(spreadDelay))
 	return time.Duration(max(0, 1-cores)*float64(weakDelay)) + spread
@@ -314,13 +315,13 @@
 // the balancer may still send them, and finishes all accepted requests as far as StopTimeout allows. It returns an
 // error if it had to abort requests.
 func (n *Node) Stop() error {
-	begun := n.clock.Now()
+	start := n.clock.Now()
 	ctx, cancel := boottime.WithTimeout(context.Background(), n.clock, n.s.StopTimeout-cutReserve)
 	defer cancel()
 	n.logger.Info("stopping", "active", n.caller.Active())
 	n.control.Stop(ctx)
-	waits := n.clock.AfterFunc(n.s.StopTimeout-waitReserve, n.traffic.StopWaiting)
-	defer waits.Stop()
+	timer := n.clock.AfterFunc(n.s.StopTimeout-waitReserve, n.traffic.StopWaiting)
+	defer timer.Stop()
 	select {
 	case <-n.clock.After(balancerLag):
 	case <-ctx.Done():
@@ -328,9 +329,9 @@
 	err := n.caller.Shutdown(ctx)
 	if err != nil {
 		n.caller.CutOff()
-		n.drain(begun.Add(n.s.StopTimeout - stopReserve))
+		n.drain(start.Add(n.s.StopTimeout - stopReserve))
 	}
-	n.logger.Info("stopped", "cutOff", n.caller.Active(), "tookMs", n.clock.Now().Sub(begun).Milliseconds())
+	n.logger.Info("stopped", "cutOff", n.caller.Active(), "tookMs", n.clock.Now().Sub(start).Milliseconds())
 	n.Kill()
 	return err
 }
--- a/io/peer/credit.go
+++ b/io/peer/grant.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	pathCredit = "/peer/credit"
-	// creditTimeout bounds one credit request, because an admitted request waits for its answer. A busy lease holder
+	pathGrant = "/peer/credit"
+	// grantTimeout bounds one grant request, because an admitted request waits for its answer. A busy lease holder
 	// of 71 nodes answers within 5 ms; a stalled one does not answer at all.
-	creditTimeout = 250 * time.Millisecond
-	// maxRequestBytes bounds the body of a credit or run lock request.
+	grantTimeout = 250 * time.Millisecond
+	// maxRequestBytes bounds the body of a grant or run lock request.
 	maxRequestBytes = 4 << 10
 )
 
-// Validation errors of a credit request.
+// Validation errors of a grant request.
 var (
 	// ErrBadAmount is returned for a request whose need or prefetch amount is negative, infinite or not a number.
 	ErrBadAmount = errors.New("the requested amounts must be finite numbers of at least 0; request what the admitted request costs")
 	// ErrBadLimit is returned for an endpoint without a positive finite limit, or for an endpoint and a customer at once.
-	ErrBadLimit = errors.New("a credit request for an endpoint needs the endpoint's published limit, above 0, and no customer")
+	ErrBadLimit = errors.New("a grant request for an endpoint needs the endpoint's published limit, above 0, and no customer")
 )
 
 // CreditQuestion is a node's request to the lease holder for a grant from the limit of a customer or of an endpoint.
@@ -70,8 +70,8 @@
 	AfterMs int64 `json:"afterMs,omitempty"`
 }
 
-// handleCredit serves credit requests of nodes.
-func handleCredit(h Holder) http.HandlerFunc {
+// handleGrant serves grant requests of nodes.
+func handleGrant(h Holder) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var q CreditQuestion
 		if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&q); err != nil {
@@ -91,10 +91,10 @@
 	}
 }
 
-// Credit sends a credit request to the lease holder at an address.
+// Credit sends a grant request to the lease holder at an address.
 func (c *Client) Credit(ctx context.Context, address string, q *CreditQuestion) (*Credit, error) {
 	var a Credit
-	if err := c.post(ctx, creditTimeout, address+pathCredit, q, &a); err != nil {
+	if err := c.post(ctx, grantTimeout, address+pathGrant, q, &a); err != nil {
 		return nil, err
 	}
 	return &a, nil
--- a/io/peer/credit_test.go
+++ b/io/peer/grant_test.go
@@ -12,9 +12,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestCredit checks that credit requests and answers survive the round trip, and that a node without the lease answers
+// TestGrantRoundTrip checks that grant requests and answers survive the round trip, and that a node without the lease answers
 // ErrNotHolder.
-func TestCredit(t *testing.T) {
+func TestGrantRoundTrip(t *testing.T) {
 	h := &fakeHolder{}
 	srv := httptest.NewServer(Handler(h))
 	defer srv.Close()
@@ -38,13 +38,13 @@
 	}
 }
 
-// TestInvalidCreditRequests checks that credit requests that are malformed, too long or ask for invalid amounts get status 400.
-func TestInvalidCreditRequests(t *testing.T) {
+// TestInvalidGrantRequests checks that grant requests that are malformed, too long or ask for invalid amounts get status 400.
+func TestInvalidGrantRequests(t *testing.T) {
 	h := &fakeHolder{credit: &Credit{}}
 	srv := httptest.NewServer(Handler(h))
 	defer srv.Close()
 	for _, body := range []string{"", "{", `{"need":-1}`, `{"ahead":-0.5}`, `{"need":1e999}`, `{"need":"1"}`, strings.Repeat(" ", maxRequestBytes) + "{}"} {
-		resp, err := http.Post(srv.URL+pathCredit, "application/json", strings.NewReader(body))
+		resp, err := http.Post(srv.URL+pathGrant, "application/json", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -64,7 +64,9 @@
 // ErrNoHolder is returned if the called node does not know who holds the lease.
 var ErrNoHolder = errors.New("the node does not know who holds the lease; ask another node")
 
-// Use is a node's demand for one unit, which is named by its pool, since the previous report.
+// Use is a node's demand for one unit, which is named by its pool. Waiting counts the requests in the queue, Arrivals those
+// that came since the previous report, and SentAway those that were refused with a retry hint since then. RunningAt counts
+// the running requests by engine.
 type Use struct {
 	Pool     string `json:"pool"`
 	Waiting  int    `json:"waiting,omitempty"`
@@ -73,7 +75,7 @@
 	// ObjectiveMs is the shortest latency objective among the arrivals, in milliseconds; 0 if none has one.
 	ObjectiveMs int64 `json:"objectiveMs,omitempty"`
 	// UrgentInMs and LastInMs are the times, in milliseconds, until the most urgent and the least urgent waiting
-	// request must get a slot; negative if that moment has passed.
+	// request should get a slot; negative if that moment has passed.
 	UrgentInMs int64          `json:"urgentInMs,omitempty"`
 	LastInMs   int64          `json:"lastInMs,omitempty"`
 	RunningAt  map[string]int `json:"runningAt,omitempty"`
@@ -139,8 +141,7 @@
 	Gone []string `json:"gone,omitempty"`
 	// ReadyInMs maps the pool of each unit that no engine serves yet to the expected time until one does, in milliseconds.
 	ReadyInMs map[string]int64 `json:"readyInMs,omitempty"`
-	// Suspects are the requests suspected of crashing engines that changed, without entries that concern single nodes
-	// only. SuspectsTo is the version that the requester has once it has merged them.
+	// Suspects are the shared entries of requests suspected of crashing engines that changed. SuspectsTo is the version that the requester has once it has merged them.
 	Suspects   []Suspect `json:"suspects,omitempty"`
 	SuspectsTo uint64    `json:"suspectsTo,omitempty"`
 	// Signals are the endpoints' own signals that changed. SignalsTo is the version that the requester has once it
@@ -249,7 +250,7 @@
 		w.WriteHeader(http.StatusNoContent)
 	})
 	mux.HandleFunc("GET "+pathWatch, func(w http.ResponseWriter, r *http.Request) {
-		q, err := parseQuestion(r.URL.Query())
+		q, err := parseWatchRequest(r.URL.Query())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -270,8 +271,8 @@
 		}
 		writeJSON(w, r, mark)
 	})
-	mux.HandleFunc("POST "+pathCredit, handleCredit(h))
-	mux.HandleFunc("POST "+pathTurn, handleTurn(h))
+	mux.HandleFunc("POST "+pathGrant, handleGrant(h))
+	mux.HandleFunc("POST "+pathRunLock, handleRunLock(h))
 	mux.HandleFunc("POST "+pathExchange, handleExchange(h))
 	return mux
 }
@@ -341,7 +342,7 @@
 	}
 }
 
-func parseQuestion(v url.Values) (Question, error) {
+func parseWatchRequest(v url.Values) (Question, error) {
 	version, err := strconv.ParseUint(v.Get("version"), 10, 64)
 	if err != nil {
 		return Question{}, fmt.Errorf("version: %w", err)
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestLease checks that a node answers with the latest lease record that it knows, or with ErrNoHolder.
-func TestLease(t *testing.T) {
+// TestLeaseLookup checks that a node answers with the latest lease record that it knows, or with ErrNoHolder.
+func TestLeaseLookup(t *testing.T) {
 	h := &fakeHolder{}
 	srv := httptest.NewServer(Handler(h))
 	defer srv.Close()
@@ -155,7 +155,7 @@
 		if err != nil {
 			return
 		}
-		if q, err := parseQuestion(v); err == nil && q.Wait < 0 {
+		if q, err := parseWatchRequest(v); err == nil && q.Wait < 0 {
 			t.Fatalf("negative wait %v", q.Wait)
 		}
 	})
--- a/io/peer/quarantine_test.go
+++ b/io/peer/quarantine_test.go
@@ -13,10 +13,10 @@
 	"olivetiller/core/quarantine"
 )
 
-// TestSuspects checks that quarantine entries survive the round trip between two nodes whose clocks differ.
-func TestSuspects(t *testing.T) {
-	mine := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	theirs := mine.Add(17 * time.Hour)
+// TestSuspectsRoundTrip checks that quarantine entries survive the round trip between two nodes whose clocks differ.
+func TestSuspectsRoundTrip(t *testing.T) {
+	sender := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	receiver := sender.Add(17 * time.Hour)
 	entries := func(now time.Time) []quarantine.Entry {
 		return []quarantine.Entry{{
 			Request: quarantine.FingerprintOf("c", quarantine.DigestOf("POST", "h", "/", nil)), Epoch: 2, At: now.Add(-9 * time.Second),
@@ -27,13 +27,13 @@
 			Verdict: &quarantine.Verdict{At: now.Add(-6 * time.Second), Trials: 1},
 		}, {Request: quarantine.Fingerprint{1}, At: now}}
 	}
-	if diff := cmp.Diff(entries(theirs), Entries(Suspects(entries(mine), mine), theirs)); diff != "" {
+	if diff := cmp.Diff(entries(receiver), Entries(Suspects(entries(sender), sender), receiver)); diff != "" {
 		t.Errorf("entries (-want +got):\n%s", diff)
 	}
 	h := &fakeHolder{}
 	srv := httptest.NewServer(Handler(h))
 	defer srv.Close()
-	want := &Exchange{Node: "n", Life: "n-1", Since: 3, Of: "m-1", Version: 9, Suspects: Suspects(entries(mine), mine)}
+	want := &Exchange{Node: "n", Life: "n-1", Since: 3, Of: "m-1", Version: 9, Suspects: Suspects(entries(sender), sender)}
 	c := NewClient(&net.Dialer{Timeout: time.Second})
 	got, err := answered(t, func() (*Exchange, error) {
 		return c.Exchange(t.Context(), strings.TrimPrefix(srv.URL, "http://"), want)
@@ -49,7 +49,7 @@
 // TestSuspectsAreClamped checks that negative and overlong ages and durations are clamped.
 func TestSuspectsAreClamped(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	odd := []Suspect{{
+	invalid := []Suspect{{
 		AgeMs:   -5,
 		Blames:  []Blame{{RanMs: -1, AgeMs: 1 << 62}},
 		Verdict: &Verdict{AgeMs: -1 << 62, Trials: -3},
@@ -57,7 +57,7 @@
 	want := []quarantine.Entry{{
 		At: now, Blames: []quarantine.Blame{{At: now.Add(-maxAge)}}, Verdict: &quarantine.Verdict{At: now},
 	}}
-	if diff := cmp.Diff(want, Entries(odd, now)); diff != "" {
+	if diff := cmp.Diff(want, Entries(invalid, now)); diff != "" {
 		t.Errorf("entries (-want +got):\n%s", diff)
 	}
 }
--- a/io/peer/turn.go
+++ b/io/peer/runlock.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	pathTurn = "/peer/turn"
-	// turnTimeout bounds a request for a run lock, because an isolated request waits for its answer.
-	turnTimeout = 250 * time.Millisecond
+	pathRunLock = "/peer/turn"
+	// runLockTimeout bounds a request for a run lock, because an isolated request waits for its answer.
+	runLockTimeout = 250 * time.Millisecond
 )
 
 // TurnQuestion acquires or releases the run lock of an isolated request, of which one copy runs at a time.
@@ -32,8 +32,8 @@
 	AfterMs int64 `json:"afterMs,omitempty"`
 }
 
-// handleTurn serves run lock requests of nodes.
-func handleTurn(h Holder) http.HandlerFunc {
+// handleRunLock serves run lock requests of nodes.
+func handleRunLock(h Holder) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var q TurnQuestion
 		if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&q); err != nil {
@@ -52,7 +52,7 @@
 // Turn acquires or releases a run lock at the lease holder at an address.
 func (c *Client) Turn(ctx context.Context, address string, q *TurnQuestion) (*Turn, error) {
 	var a Turn
-	if err := c.post(ctx, turnTimeout, address+pathTurn, q, &a); err != nil {
+	if err := c.post(ctx, runLockTimeout, address+pathRunLock, q, &a); err != nil {
 		return nil, err
 	}
 	return &a, nil
--- a/io/peer/turn_test.go
+++ b/io/peer/runlock_test.go
@@ -14,8 +14,8 @@
 	"olivetiller/core/quarantine"
 )
 
-// TestTurn checks that run lock requests and answers survive the round trip, and that malformed ones get status 400.
-func TestTurn(t *testing.T) {
+// TestRunLockRoundTrip checks that run lock requests and answers survive the round trip, and that malformed ones get status 400.
+func TestRunLockRoundTrip(t *testing.T) {
 	h := &fakeHolder{}
 	srv := httptest.NewServer(Handler(h))
 	defer srv.Close()
@@ -38,7 +38,7 @@
 		t.Errorf("request (-want +got):\n%s", diff)
 	}
 	for _, body := range []string{"", "{", `{"request":"00"}`, `{"request":7}`} {
-		resp, err := http.Post(srv.URL+pathTurn, "application/json", strings.NewReader(body))
+		resp, err := http.Post(srv.URL+pathRunLock, "application/json", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/io/peer/signal.go
+++ b/io/peer/signal.go
@@ -21,9 +21,9 @@
 }
 
 // Signals encodes endpoint reports, with ages relative to now.
-func Signals(words []signal.Word, now time.Time) []Signal {
-	out := make([]Signal, 0, len(words))
-	for _, w := range words {
+func Signals(reports []signal.Word, now time.Time) []Signal {
+	out := make([]Signal, 0, len(reports))
+	for _, w := range reports {
 		out = append(out, Signal{Endpoint: w.Endpoint, Born: w.Start, Limit: w.Limit, AgeMs: now.Sub(w.At).Milliseconds(), Leaving: w.Leaving, RestMs: max(0, w.RestUntil.Sub(now).Milliseconds())})
 	}
 	return out
--- a/io/peer/signal_test.go
+++ b/io/peer/signal_test.go
@@ -13,7 +13,7 @@
 // TestSignalsKeepAges checks that times are transferred as ages, whatever the difference of the two nodes' clocks.
 func TestSignalsKeepAges(t *testing.T) {
 	here, there := time.Unix(1000, 0), time.Unix(5000, 0)
-	words := []signal.Word{
+	reports := []signal.Word{
 		{Life: signal.Life{Endpoint: "i-1", Start: 7}, Limit: 1.5, At: here.Add(-time.Second), Leaving: true, RestUntil: here.Add(2 * time.Second)},
 		{Life: signal.Life{Endpoint: "i-2"}, At: here.Add(-time.Minute)},
 	}
@@ -21,15 +21,15 @@
 		{Life: signal.Life{Endpoint: "i-1", Start: 7}, Limit: 1.5, At: there.Add(-time.Second), Leaving: true, RestUntil: there.Add(2 * time.Second)},
 		{Life: signal.Life{Endpoint: "i-2"}, At: there.Add(-time.Minute), RestUntil: there},
 	}
-	raw, err := json.Marshal(Signals(words, here))
+	raw, err := json.Marshal(Signals(reports, here))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told []Signal
-	if err := json.Unmarshal(raw, &told); err != nil {
+	var received []Signal
+	if err := json.Unmarshal(raw, &received); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(want, Words(told, there)); diff != "" {
+	if diff := cmp.Diff(want, Words(received, there)); diff != "" {
 		t.Errorf("reports (-want +got):\n%s", diff)
 	}
 }
@@ -40,13 +40,13 @@
 	f.Add([]byte(`[{"endpoint":"i-1","born":7,"limit":1.5,"ageMs":20,"leaving":true,"restMs":300}]`))
 	f.Add([]byte(`[{"endpoint":"","limit":-1,"ageMs":-9223372036854775808,"restMs":9223372036854775807}]`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var told []Signal
-		if json.Unmarshal(raw, &told) != nil {
+		var received []Signal
+		if json.Unmarshal(raw, &received) != nil {
 			return
 		}
 		now := time.Unix(1000, 0)
 		b := signal.NewBook()
-		for _, w := range Words(told, now) {
+		for _, w := range Words(received, now) {
 			if w.Check() != nil || w.At.After(now) || w.RestUntil.Before(now) {
 				t.Errorf("accepted: %+v", w)
 			}
--- a/io/peer/silence_test.go
+++ b/io/peer/silence_test.go
@@ -39,7 +39,7 @@
 // an earlier release, which lacks them, is still parsed.
 func TestWatchRequestRoundTrip(t *testing.T) {
 	want := Question{Node: "n", Life: "a-1", Version: 2, Wait: time.Second, Address: "10.0.0.1:7", Hall: "h", Strength: 0.25, Feeder: true, Orphan: true}
-	got, err := parseQuestion(want.values())
+	got, err := parseWatchRequest(want.values())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	for _, name := range []string{"address", "hall", "strength", "feeder", "orphan"} {
 		v.Del(name)
 	}
-	got, err = parseQuestion(v)
+	got, err = parseWatchRequest(v)
 	if err != nil {
 		t.Fatal(err)
 	}
