--- a/internal/fleetkeys/fleetkeys.go
+++ b/internal/fleetkeys/fleetkeys.go
@@ -22,7 +22,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Validity periods of certificates.
+// Validity periods of the certificates of an authority and of a node.
 const (
 	AuthorityValidity = 10 * 365 * 24 * time.Hour
 	NodeValidity      = 90 * 24 * time.Hour
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -144,8 +144,8 @@
 // idleCloser is a client with a pool of idle connections.
 type idleCloser interface{ CloseIdleConnections() }
 
-// onResume handles the resume of the machine. Ages of known state need no correction, because the clock includes the time of
-// the suspend; but the peers of idle connections may have closed them.
+// onResume handles the resume of the machine. Ages of known state need no correction, because the clock includes the
+// time of the suspend; but the peers of idle connections may have closed them.
 func (n *Node) onResume(slept time.Duration) {
 	n.logger.Warn("machine resumed after a suspend", "sleptMs", slept.Milliseconds())
 	for _, i := range n.idleClosers {
--- a/internal/inbox/inbox.go
+++ b/internal/inbox/inbox.go
@@ -1,8 +1,8 @@
 // Package inbox passes messages to the single goroutine that owns some state.
 //
-// Readers, peers and timers run on their own goroutines, but only the owner may change the state. They send messages to an
-// [Inbox]; the owner handles one, then all others that wait ([Inbox.Drain]), and only then acts, so that one step covers
-// all of them. A sender blocks while the inbox is full, until its context or the owner ends. Package
+// Readers, peers and timers run on their own goroutines, but only the owner may change the state. They send messages
+// to an [Inbox]; the owner handles one, then all others that wait ([Inbox.Drain]), and only then acts, so that one
+// step covers all of them. A sender blocks while the inbox is full, until its context or the owner ends. Package
 // internal/placer uses it for its controller.
 package inbox
 
--- a/io/boottime/clock.go
+++ b/io/boottime/clock.go
@@ -85,7 +85,8 @@
 	return c.base.Add(boot)
 }
 
-// onResume records the new total drift, re-arms the timers and calls the hooks, unless another reading has already done so.
+// onResume records the new total drift, re-arms the timers and calls the hooks, unless another reading has already
+// done so.
 func (c *Clock) onResume(drift time.Duration) {
 	c.mu.Lock()
 	before := time.Duration(c.slept.Load())
@@ -147,8 +148,8 @@
 	f     func()
 	every time.Duration
 	due   time.Time
-	// runtimeTimer is the runtime's timer, which does not advance during a suspend. round counts its settings, so that a firing
-	// of an earlier setting is recognized and ignored.
+	// runtimeTimer is the runtime's timer, which does not advance during a suspend. round counts its settings, so
+	// that a firing of an earlier setting is recognized and ignored.
 	runtimeTimer *time.Timer
 	round        int
 }
--- a/io/engine/engine.go
+++ b/io/engine/engine.go
@@ -5,9 +5,10 @@
 // effect, and otherwise one of four errors that state what the caller may conclude. Package internal/control uses the
 // client.
 //
-// The protocol: GET /engine/status returns a [Status]. POST /engine/load and /engine/unload with an [Order] as JSON answer
-// 204 once the order has taken effect, 409 with "staleFence" or "wrongIncarnation" if the order was refused, 503 if its
-// effect is unknown, and any other status if it had no effect. Completion requests go through package endpoint.
+// The protocol: GET /engine/status returns a [Status]. POST /engine/load and /engine/unload with an [Order] as JSON
+// answer 204 once the order has taken effect, 409 with "staleFence" or "wrongIncarnation" if the order was refused,
+// 503 if its effect is unknown, and any other status if it had no effect. Completion requests go through package
+// endpoint.
 package engine
 
 import (
@@ -46,14 +47,16 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Unit is the state of one unit in an engine's status.
+// Unit is the state of one unit in an engine's status. Phase tells whether it is loading, loaded or unloading.
 type Unit struct {
 	Unit    string `json:"unit"`
 	Version string `json:"version"`
 	Phase   string `json:"phase"`
 }
 
-// Status is the state that an engine reports.
+// Status is the state that an engine reports. Running is the number of running requests, Leaving is true if the engine
+// is draining, Units are the loaded units and those in transition, and OnDisk lists the units whose weights are on
+// the local disk, as unit@version.
 type Status struct {
 	Instance     string   `json:"instance"`
 	Incarnation  uint64   `json:"incarnation"`
--- a/io/instancelist/instancelist.go
+++ b/io/instancelist/instancelist.go
@@ -1,8 +1,8 @@
 // Package instancelist is the client of the platform's list of running and draining instances.
 //
-// The list lags behind, so callers treat it as evidence only: a new instance may be missing and a stopped one may still
-// be listed. The protocol: GET /instances answers {"instances": [...]}; PUT /instances/{id}/state with {"state"}
-// announces that an instance is draining.
+// The list lags behind, so callers treat it as evidence only: a draining instance may already be missing, and a
+// stopped one may still be listed. The protocol: GET /instances answers {"instances": [...]}; PUT
+// /instances/{id}/state with {"state"} announces that an instance is draining.
 package instancelist
 
 import (
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -29,8 +29,8 @@
 	return cfg
 }
 
-// TestOnlyMembersAreAnswered checks that a server answers a member of its fleet, and neither a process with a certificate of
-// another fleet nor a member that sends a request in another node's name.
+// TestOnlyMembersAreAnswered checks that a server answers a member of its fleet, and neither a process with a
+// certificate of another fleet nor a member that sends a request in another node's name.
 func TestOnlyMembersAreAnswered(t *testing.T) {
 	ours, err := fleetkeys.NewAuthority("ours", time.Now())
 	if err != nil {
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -4,9 +4,10 @@
 // Each node posts a [Report] with its demand to the holder, and long-polls it for a [Snapshot] of what changed since
 // the last one that the node received. The holder answers the poll when something changes, or without changes after
 // [Question.Wait], which shows that the holder is running. So the holder learns of a waiting request, and the nodes of
-// a loaded model, within milliseconds; a lost message only adds delay and breaks no guarantee. A node that can reach
-// neither the holder nor the store asks any other node who holds the lease. Further calls request grants from limits
-// (credit), take the run locks of isolated requests, and exchange quarantine state between two nodes.
+// a loaded model, within milliseconds; a lost message only adds delay and breaks no guarantee. In a large fleet the
+// holder sends snapshots only to some nodes, the feeders, which forward them to their followers (package feedtree). A
+// node that can reach neither the holder nor the store asks any other node who holds the lease. Further calls request
+// grants from limits, acquire the run locks of isolated requests, and exchange quarantine state between two nodes.
 //
 // Package internal/placer implements [Holder] and uses [Client].
 //
