--- a/internal/modelcheck/claims.go
+++ b/internal/modelcheck/claims.go
@@ -9,39 +9,46 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// ClaimGuards are the guards of the claim protocol.
+// ClaimGuards selects the guards of the claim protocol that a model runs without. The zero value
+// keeps all of them.
 type ClaimGuards struct {
-	// FoldOff are the fold's guards that are switched off.
-	FoldOff ledger.Guard
-	// NoReadBack dispatches before the claim was read back.
+	// DisabledGuards are the guards of the ledger that are switched off.
+	DisabledGuards ledger.Guard
+	// NoReadBack lets a node send the request to the service before it has read its own claim back
+	// from the log.
 	NoReadBack bool
-	// ReleaseAfterSend releases a claim though the request may have been sent.
+	// ReleaseAfterSend lets a node release its claim although it has already sent the request to
+	// the service.
 	ReleaseAfterSend bool
 }
 
-// claimant is one node that was sent the request.
+// claimant is a node that received the once-only request from a caller.
 type claimant struct {
-	folded int
-	// asked, won, sent, ended are the steps of its run in order.
-	asked, won, sent, ended bool
-	// toldNotRun is what its caller was told.
-	toldNotRun bool
-	dead       bool
+	// applied is the number of log records that the node has applied.
+	applied int
+	// proposed, won, sent and ended are the steps of the request on this node, in this order: its
+	// claim is appended, the claim is accepted, the request is sent to the service, and the node is
+	// done with it.
+	proposed, won, sent, ended bool
+	// reportedNotRun is set when the node answered its caller that the request did not run.
+	reportedNotRun bool
+	dead           bool
 }
 
 // claimWorld is one state of the model.
 type claimWorld struct {
-	log   string // "kind node" lines; kind is claim, release or done
+	log   string // one "kind node" line per record; kind is claim, release or done
 	nodes [2]claimant
-	// runs counts the runs at the service, by node.
+	// runs counts how often the service ran the request, by the node that sent it.
 	runs [2]int
-	// repeats counts the appends repeated after a lost answer.
+	// repeats counts the duplicated appends, as a retry after a lost answer makes them.
 	repeats int
 }
 
+// maxRepeats bounds the duplicated appends in one history.
 const maxRepeats = 2
 
-// Claims returns the model: two nodes are sent the same once-only request.
+// Claims returns the model in which two nodes receive the same once-only request.
 func Claims(g ClaimGuards) explore.Model[claimWorld] {
 	m := &claimModel{guards: g}
 	return explore.Model[claimWorld]{
@@ -54,14 +61,14 @@
 	guards ClaimGuards
 }
 
-// sequenceOf gives each kind of a node's record its place in the node's order,
-// so that a repeated append carries the same sequence.
+// sequenceOf maps the kind of a record to its sequence number among the records of its node. A
+// duplicated append carries the same number, by which the ledger recognizes it.
 var sequenceOf = map[string]uint64{"claim": 1, "release": 2, "done": 2}
 
-// fold returns the outcomes of the first n records.
-func (m *claimModel) fold(log string, n int) (*ledger.State, []ledger.Outcome) {
+// replay applies the first n records of a log and returns the state and the outcome of each record.
+func (m *claimModel) replay(log string, n int) (*ledger.State, []ledger.Outcome) {
 	s := ledger.NewState()
-	s.Off = m.guards.FoldOff
+	s.Off = m.guards.DisabledGuards
 	var outcomes []ledger.Outcome
 	id := make([]byte, len(ledger.ClaimID{}))
 	for i, line := range strings.SplitN(log, "\n", n+1)[:n] {
@@ -87,14 +94,15 @@
 	add := func(name string, to claimWorld) { out = append(out, explore.Step[claimWorld]{Name: name, To: to}) }
 	for i := range w.nodes {
 		if !w.nodes[i].dead {
-			m.steps(w, i, add)
+			m.nodeSteps(w, i, add)
 		}
 		m.repeats(w, i, add)
 	}
 	return out
 }
 
-// repeats returns the repeats of a node's appends, which surface at any time.
+// repeats returns the steps in which an append of node i appears in the log a second time; this can
+// happen at any later moment.
 func (m *claimModel) repeats(w claimWorld, i int, add func(string, claimWorld)) {
 	if w.repeats >= maxRepeats {
 		return
@@ -110,28 +118,29 @@
 	}
 }
 
-func (m *claimModel) steps(w claimWorld, i int, add func(string, claimWorld)) {
+// nodeSteps adds the steps that node i can take in world w.
+func (m *claimModel) nodeSteps(w claimWorld, i int, add func(string, claimWorld)) {
 	n := &w.nodes[i]
 	put := func(name string, edit func(*claimWorld, *claimant)) {
 		to := w
 		edit(&to, &to.nodes[i])
 		add(fmt.Sprintf("%d %s", i, name), to)
 	}
-	if !n.asked {
+	if !n.proposed {
 		put("proposes its claim", func(w *claimWorld, n *claimant) {
-			n.asked = true
+			n.proposed = true
 			w.log += fmt.Sprintf("claim %d\n", i)
 		})
 		return
 	}
 	put("dies", func(_ *claimWorld, n *claimant) { n.dead = true })
-	if n.folded < count(w.log) {
-		put("folds", func(w *claimWorld, n *claimant) { m.foldOne(w, i) })
+	if n.applied < countRecords(w.log) {
+		put("folds", func(w *claimWorld, n *claimant) { m.applyNext(w, i) })
 	}
 	mayGiveUp := !n.sent || m.guards.ReleaseAfterSend
 	if n.won && !n.ended && mayGiveUp {
 		put("gives up and releases", func(w *claimWorld, n *claimant) {
-			n.ended, n.toldNotRun = true, true
+			n.ended, n.reportedNotRun = true, true
 			w.log += fmt.Sprintf("release %d\n", i)
 		})
 	}
@@ -149,12 +158,13 @@
 	}
 }
 
-// foldOne folds one record at a node and acts on the outcome of its own claim.
-func (m *claimModel) foldOne(w *claimWorld, i int) {
+// applyNext applies the next record at node i. If it is the outcome of the node's own claim, the
+// node has won the request or is done with it.
+func (m *claimModel) applyNext(w *claimWorld, i int) {
 	n := &w.nodes[i]
-	n.folded++
-	_, outcomes := m.fold(w.log, n.folded)
-	o := outcomes[n.folded-1]
+	n.applied++
+	_, outcomes := m.replay(w.log, n.applied)
+	o := outcomes[n.applied-1]
 	if o.Record.GetNode() != fmt.Sprint(i) || o.Record.GetClaim() == nil || o.Reason == ledger.Repeated || n.won || n.ended {
 		return
 	}
@@ -165,15 +175,15 @@
 	n.ended = true
 }
 
-// check says what is wrong with a world: a request that ran twice, or one
-// refused as not run that its node did send.
+// check returns an error if the request ran twice, or if a node that sent the request reported it
+// as not run.
 func (m *claimModel) check(w claimWorld) error {
 	if w.runs[0]+w.runs[1] > 1 {
-		return fmt.Errorf("the request ran %d times", w.runs[0]+w.runs[1])
+		return fmt.Errorf("the once-only request ran %d times", w.runs[0]+w.runs[1])
 	}
 	for i, n := range w.nodes {
-		if n.toldNotRun && w.runs[i] > 0 {
-			return fmt.Errorf("node %d said not run of a request that it sent", i)
+		if n.reportedNotRun && w.runs[i] > 0 {
+			return fmt.Errorf("node %d reported the request as not run although it sent it", i)
 		}
 	}
 	return nil
--- a/internal/modelcheck/doc.go
+++ b/internal/modelcheck/doc.go
@@ -1,16 +1,16 @@
-// Package modelcheck holds small models of the system's protocols, to be
-// explored exhaustively: each runs the real fold of package ledger on every
-// interleaving of a few nodes, an engine or service, and a log.
+// Package modelcheck holds small models of the replicated log's protocols for exhaustive
+// exploration with package explore. A model applies records with the product's own state machine
+// (core/ledger) on every interleaving of two nodes or operators, an engine or service, and a log.
+// Its callers are the tests and the model command of olivebench.
 //
-//   - [Placement]: load, takeover and unload with executors that are paused,
-//     held for dead by mistake, and orders that arrive late, on an engine that
-//     checks fences and on one that ignores them.
-//   - [Claims]: claim, release and repeat of a once-only request, with appends
-//     that are repeated after lost answers and nodes that die.
-//   - [Publish]: two operators who change the same item.
-//   - [Snapshots]: a node that boots while the log is trimmed.
+//   - [Placement]: loading, takeover and unloading of replicas by executors that pause, are wrongly
+//     taken for dead, or whose orders arrive late; on an engine that rejects orders with a stale
+//     fence, and on one that ignores fences.
+//   - [Claims]: claiming, releasing and repeating a once-only request, with appends that are
+//     duplicated after a lost answer and nodes that die.
+//   - [Publish]: two operators who change the same configuration item.
+//   - [Snapshots]: a node that boots from a snapshot while the log is trimmed.
 //
-// Each model names the guards it rests on. A guard can be switched off, and the
-// tests show that the exploration then finds the fault: a check that cannot
-// fail proves nothing.
+// Each model lists the guards that its safety depends on. The tests switch each guard off and
+// require that the exploration then finds a violation, which shows that the checks can fail.
 package modelcheck
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -8,23 +8,23 @@
 	"olivetiller/internal/explore"
 )
 
-// Bounds under which the placement protocol is explored. Together they cover
-// what none of them does alone: two units, a takeover, an attempt that gets no
-// answer, and a second replica after a quarantine.
+// The placement protocol is explored under several bounds, since the state space under all of them
+// at once is too large: two units; an order that gets no answer at first and is sent again; a
+// takeover with a second load after a quarantine.
 var (
 	twoUnits  = Bounds{Units: "xy", Loads: 2, Takeovers: 1, Unloads: 1, Cleanups: 1}
 	oneRetry  = Bounds{Units: "x", Loads: 2, Unloads: 1, Retries: 1, Cleanups: 2}
 	takenOver = Bounds{Units: "x", Loads: 2, Takeovers: 1, Unloads: 1, Cleanups: 1}
 )
 
-// placement explores the placement protocol.
-func placement(g PlacementGuards, b Bounds) func(*testing.T) explore.Report {
+// explorePlacement returns a function that explores the placement model and returns the report.
+func explorePlacement(g PlacementGuards, b Bounds) func(*testing.T) explore.Report {
 	g.Bounds = b
-	return func(t *testing.T) explore.Report { return explored(t, Placement(g)) }
+	return func(t *testing.T) explore.Report { return exploreModel(t, Placement(g)) }
 }
 
-// explored runs a model and returns its report.
-func explored[W any](t *testing.T, m explore.Model[W]) explore.Report {
+// exploreModel explores a model and returns the report.
+func exploreModel[W any](t *testing.T, m explore.Model[W]) explore.Report {
 	t.Helper()
 	r, err := explore.Run(m)
 	if err != nil {
@@ -34,19 +34,19 @@
 	return r
 }
 
-// TestProtocolsHold explores each protocol with all its guards.
+// TestProtocolsHold explores each protocol with all its guards and expects no violation.
 func TestProtocolsHold(t *testing.T) {
 	tests := []struct {
 		name string
 		run  func(t *testing.T) explore.Report
 	}{
-		{"placement, fences checked", placement(PlacementGuards{ChecksFences: true}, twoUnits)},
-		{"placement, fences ignored, two units", placement(PlacementGuards{}, twoUnits)},
-		{"placement, fences ignored, a retry", placement(PlacementGuards{}, oneRetry)},
-		{"placement, fences ignored, a takeover", placement(PlacementGuards{}, takenOver)},
-		{"claims", func(t *testing.T) explore.Report { return explored(t, Claims(ClaimGuards{})) }},
-		{"publish", func(t *testing.T) explore.Report { return explored(t, Publish(0)) }},
-		{"snapshots", func(t *testing.T) explore.Report { return explored(t, Snapshots(SnapshotGuards{})) }},
+		{"placement, fences checked", explorePlacement(PlacementGuards{ChecksFences: true}, twoUnits)},
+		{"placement, fences ignored, two units", explorePlacement(PlacementGuards{}, twoUnits)},
+		{"placement, fences ignored, a retry", explorePlacement(PlacementGuards{}, oneRetry)},
+		{"placement, fences ignored, a takeover", explorePlacement(PlacementGuards{}, takenOver)},
+		{"claims", func(t *testing.T) explore.Report { return exploreModel(t, Claims(ClaimGuards{})) }},
+		{"publish", func(t *testing.T) explore.Report { return exploreModel(t, Publish(0)) }},
+		{"snapshots", func(t *testing.T) explore.Report { return exploreModel(t, Snapshots(SnapshotGuards{})) }},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -58,41 +58,41 @@
 	}
 }
 
-// TestGuardsMatter switches each guard off and expects the exploration to find
-// the fault that the guard prevents.
-func TestGuardsMatter(t *testing.T) {
+// TestDisabledGuardsAreDetected switches each guard off in turn and expects the exploration to find
+// a violation. It guards against checks that cannot fail.
+func TestDisabledGuardsAreDetected(t *testing.T) {
 	tests := []struct {
 		name string
 		run  func(t *testing.T) explore.Report
 	}{
-		{"no memory check", placement(PlacementGuards{ChecksFences: true, FoldOff: ledger.GuardMemory}, twoUnits)},
-		{"outcomes count under any fence", placement(PlacementGuards{ChecksFences: true, FoldOff: ledger.GuardFence}, twoUnits)},
-		{"no quarantine", placement(PlacementGuards{FoldOff: ledger.GuardQuarantine}, takenOver)},
-		{"quarantine ends without a last unload", placement(PlacementGuards{NoCleanup: true}, takenOver)},
-		{"every node ends the quarantine", placement(PlacementGuards{ManyCleanups: true}, oneRetry)},
-		{"a retry is hidden", placement(PlacementGuards{HideRetry: true}, oneRetry)},
-		{"no lease", placement(PlacementGuards{NoLease: true}, takenOver)},
+		{"no memory check", explorePlacement(PlacementGuards{ChecksFences: true, DisabledGuards: ledger.GuardMemory}, twoUnits)},
+		{"outcomes count under any fence", explorePlacement(PlacementGuards{ChecksFences: true, DisabledGuards: ledger.GuardFence}, twoUnits)},
+		{"no quarantine", explorePlacement(PlacementGuards{DisabledGuards: ledger.GuardQuarantine}, takenOver)},
+		{"quarantine ends without a last unload", explorePlacement(PlacementGuards{NoCleanup: true}, takenOver)},
+		{"every node ends the quarantine", explorePlacement(PlacementGuards{AnyNodeCleanup: true}, oneRetry)},
+		{"a retry is hidden", explorePlacement(PlacementGuards{HideRetry: true}, oneRetry)},
+		{"no lease", explorePlacement(PlacementGuards{NoLease: true}, takenOver)},
 		{"claims are not exclusive", func(t *testing.T) explore.Report {
-			return explored(t, Claims(ClaimGuards{FoldOff: ledger.GuardClaim}))
+			return exploreModel(t, Claims(ClaimGuards{DisabledGuards: ledger.GuardClaim}))
 		}},
 		{"sent before the claim is read back", func(t *testing.T) explore.Report {
-			return explored(t, Claims(ClaimGuards{NoReadBack: true}))
+			return exploreModel(t, Claims(ClaimGuards{NoReadBack: true}))
 		}},
 		{"released after it was sent", func(t *testing.T) explore.Report {
-			return explored(t, Claims(ClaimGuards{ReleaseAfterSend: true}))
+			return exploreModel(t, Claims(ClaimGuards{ReleaseAfterSend: true}))
 		}},
 		{"publish on any revision", func(t *testing.T) explore.Report {
-			return explored(t, Publish(ledger.GuardRevision))
+			return exploreModel(t, Publish(ledger.GuardRevision))
 		}},
 		{"no gap check at boot", func(t *testing.T) explore.Report {
-			return explored(t, Snapshots(SnapshotGuards{NoGapCheck: true}))
+			return exploreModel(t, Snapshots(SnapshotGuards{NoGapCheck: true}))
 		}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			if r := tc.run(t); r.Violation == nil {
-				t.Errorf("the exploration of %d states found nothing", r.States)
+				t.Errorf("explored %d states without finding a violation", r.States)
 			}
 		})
 	}
--- a/internal/modelcheck/placement.go
+++ b/internal/modelcheck/placement.go
@@ -9,74 +9,83 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// PlacementGuards are the guards of the placement protocol.
+// PlacementGuards selects the guards of the placement protocol that the model runs without, and the
+// kind of its engine.
 type PlacementGuards struct {
-	// FoldOff are the fold's guards that are switched off.
-	FoldOff ledger.Guard
-	// NoLease lets an executor write an order after its lease has ended.
+	// DisabledGuards are the guards of the ledger that are switched off.
+	DisabledGuards ledger.Guard
+	// NoLease lets an executor send an order after its lease has expired.
 	NoLease bool
-	// HideRetry reports an order as sure though an attempt got no answer.
+	// HideRetry reports an order as confirmed although an earlier attempt got no answer and may
+	// still arrive.
 	HideRetry bool
-	// ManyCleanups lets every node write the last unload of a quarantine.
-	ManyCleanups bool
-	// NoCleanup ends a quarantine without a last unload at the engine.
+	// AnyNodeCleanup lets every node send the final unload of a quarantine, not only the executor
+	// that took it over.
+	AnyNodeCleanup bool
+	// NoCleanup ends a quarantine without a final unload at the engine.
 	NoCleanup bool
-	// ChecksFences says which kind of engine the model has.
+	// ChecksFences makes the engine reject orders with a fence lower than the highest that it has
+	// seen.
 	ChecksFences bool
 	Bounds
 }
 
-// Bounds keep the model finite: how often each thing may happen.
+// Bounds keeps the model finite: it limits how often each kind of step may happen in one history.
 type Bounds struct {
-	// Units are the units there are, one letter each.
+	// Units are the units (models or adapters), one letter each.
 	Units                                        string
 	Loads, Takeovers, Unloads, Retries, Cleanups int
 }
 
-// Names of the model's parts.
+// Names and sizes used by the placement model.
 const (
 	modelEngine  = "e"
 	modelVersion = "v"
-	wiresPerNode = 2
+	// inFlightPerNode is how many orders of one node can be in flight at once.
+	inFlightPerNode = 2
 )
 
-// order is an order in a node's hand or on its way to the engine.
+// order is a load or unload order to the engine, pending at a node or in flight.
 type order struct {
 	unit   byte
 	fence  uint64
 	unload bool
-	// cleanup is the unload at the end of a quarantine.
+	// cleanup marks the unload at the end of a quarantine.
 	cleanup bool
-	// unsure is set on a second attempt.
-	unsure bool
+	// unconfirmed marks a second attempt, sent because the first got no answer.
+	unconfirmed bool
 }
 
-// executor is one node.
+// executor is one node, which proposes records and sends orders to the engine.
 type executor struct {
-	// folded is how many records it has folded.
-	folded int
-	// hand is the order it is about to write, if has is set.
-	hand order
-	has  bool
-	// lapsed is set when the lease of the order in hand has ended.
-	lapsed bool
-	// answer is the confirmed order it has yet to report.
-	answer  order
-	replied bool
-	// expired is the highest fence whose lease is over, written or not.
-	expired uint64
-	// wrote is the order it wrote last: only its answer is waited for.
-	wrote order
+	// applied is the number of log records that the node has applied.
+	applied int
+	// pending is the order that the node is about to send; it is valid only if hasPending is set.
+	pending    order
+	hasPending bool
+	// leaseExpired is set when the lease under which the pending order may be sent has expired.
+	leaseExpired bool
+	// answer is the confirmed order that the node has yet to report to the log; it is valid only if
+	// hasAnswer is set.
+	answer    order
+	hasAnswer bool
+	// expiredFence is the highest fence whose lease has expired, whether or not its order was sent.
+	expiredFence uint64
+	// lastSent is the order that the node sent last; the node waits for the answer to this one
+	// only.
+	lastSent order
 }
 
-// placementWorld is one state of the model. It is a value: steps copy it.
+// placementWorld is one state of the model. It is a value type: each step copies it.
 type placementWorld struct {
-	log   string // records, one a line
+	log   string // one record per line
 	nodes [2]executor
-	// wire holds orders that were written and have not arrived, two a node.
-	wire [4]order
-	sent [4]bool
-	// loaded is what the engine holds; fence the highest it saw.
+	// inFlight holds the orders that were sent and have not arrived, inFlightPerNode for each node;
+	// occupied marks the slots in use.
+	inFlight [4]order
+	occupied [4]bool
+	// loaded holds the letters of the units that the engine has loaded; fence is the highest that
+	// the engine has seen.
 	loaded                    string
 	fence                     uint64
 	loads, takeovers, unloads int
@@ -84,10 +93,10 @@
 	overcommitted             bool
 }
 
-// Placement returns the model. The engine has room for one of two units, so two
-// loaded at once overcommit it.
+// Placement returns the model of two nodes and one engine. The engine has memory for one unit, so
+// two units loaded at once overcommit it.
 func Placement(g PlacementGuards) explore.Model[placementWorld] {
-	m := &placementModel{guards: g, folds: make(map[string]*ledger.State)}
+	m := &placementModel{guards: g, replays: make(map[string]*ledger.State)}
 	return explore.Model[placementWorld]{
 		Next: m.next, Check: m.check, MaxStates: 3_000_000,
 		Key: func(w placementWorld) string { return fmt.Sprintf("%v", w) },
@@ -96,10 +105,12 @@
 
 type placementModel struct {
 	guards PlacementGuards
-	// folds caches the folded state of each prefix of a log.
-	folds map[string]*ledger.State
+	// replays caches the state after each prefix of a log.
+	replays map[string]*ledger.State
 }
 
+// placementPreamble returns the records at the start of every log: the configuration with all units
+// and the registration of the engine.
 func placementPreamble(g PlacementGuards) []*pb.Record {
 	cfg := &pb.Config{WeightStores: []*pb.WeightStore{{Name: "s", LoadSlots: 2}}}
 	for _, u := range g.Units {
@@ -116,18 +127,18 @@
 	}
 }
 
-// fold returns the state after the first n records of a log.
-func (m *placementModel) fold(log string, n int) *ledger.State {
+// replay returns the state after the first n records of a log.
+func (m *placementModel) replay(log string, n int) *ledger.State {
 	lines := strings.Split(strings.TrimSuffix(log, "\n"), "\n")
 	if log == "" {
 		lines = nil
 	}
 	key := strings.Join(lines[:n], "\n")
-	if s := m.folds[key]; s != nil {
+	if s := m.replays[key]; s != nil {
 		return s
 	}
 	s := ledger.NewState()
-	s.Off = m.guards.FoldOff
+	s.Off = m.guards.DisabledGuards
 	offset := uint64(0)
 	for _, r := range placementPreamble(m.guards) {
 		s.Apply(offset, r)
@@ -137,11 +148,12 @@
 		s.Apply(offset, parseRecord(line, uint64(i+1)))
 		offset++
 	}
-	m.folds[key] = s
+	m.replays[key] = s
 	return s
 }
 
-// Records of the model are lines such as "load x 0": kind, unit, node, fence.
+// parseRecord parses a line such as "load x 0 1" (kind, unit, node, fence) into a record with the
+// given sequence number. A "?" after the kind marks the outcome as unconfirmed.
 func parseRecord(line string, sequence uint64) *pb.Record {
 	var kind, unit string
 	var node int
@@ -166,14 +178,16 @@
 	return r
 }
 
-func count(log string) int { return strings.Count(log, "\n") }
+// countRecords returns the number of records in a log.
+func countRecords(log string) int { return strings.Count(log, "\n") }
 
+// append returns the world with one more record in its log.
 func (w placementWorld) append(kind string, unit byte, node int, fence uint64) placementWorld {
 	w.log += fmt.Sprintf("%s %c %d %d\n", kind, unit, node, fence)
 	return w
 }
 
-// next returns every step from a world.
+// next returns every step that is possible in a world.
 func (m *placementModel) next(w placementWorld) []explore.Step[placementWorld] {
 	var out []explore.Step[placementWorld]
 	add := func(name string, to placementWorld) {
@@ -182,50 +196,51 @@
 	for i := range w.nodes {
 		m.nodeSteps(w, i, add)
 	}
-	for i := range w.wire {
-		if w.sent[i] {
-			add(fmt.Sprintf("order of %d arrives", i/wiresPerNode), m.arrive(w, i))
+	for i := range w.inFlight {
+		if w.occupied[i] {
+			add(fmt.Sprintf("order of %d arrives", i/inFlightPerNode), m.arrive(w, i))
 		}
 	}
 	return out
 }
 
-// nodeSteps returns the steps of one node.
+// nodeSteps adds the steps of node i: applying a record, proposing, sending a pending order and
+// reporting an answer.
 func (m *placementModel) nodeSteps(w placementWorld, i int, add func(string, placementWorld)) {
 	n := &w.nodes[i]
-	if n.folded < count(w.log) {
+	if n.applied < countRecords(w.log) {
 		to := w
-		to.nodes[i].folded++
+		to.nodes[i].applied++
 		add(fmt.Sprintf("%d folds", i), to)
 	}
-	s := m.fold(w.log, n.folded)
+	s := m.replay(w.log, n.applied)
 	m.proposals(w, i, s, add)
-	if n.has {
-		m.write(w, i, add)
+	if n.hasPending {
+		m.sendSteps(w, i, add)
 	}
-	if n.replied {
+	if n.hasAnswer {
 		to := w
 		kind := map[bool]string{false: "loaded", true: "unloaded"}[n.answer.unload]
 		if n.answer.cleanup {
 			kind = "clean"
-			if n.answer.unsure && !m.guards.HideRetry {
-				// An attempt without an answer may still arrive: the quarantine
-				// begins anew.
-				to.nodes[i].replied = false
+			if n.answer.unconfirmed && !m.guards.HideRetry {
+				// An attempt without an answer may still arrive, so the quarantine starts over.
+				to.nodes[i].hasAnswer = false
 				add(fmt.Sprintf("%d begins the quarantine anew", i), to)
 				return
 			}
 		}
-		if n.answer.unsure && !m.guards.HideRetry {
+		if n.answer.unconfirmed && !m.guards.HideRetry {
 			kind += "?"
 		}
 		to = to.append(kind, n.answer.unit, i, n.answer.fence)
-		to.nodes[i].replied = false
+		to.nodes[i].hasAnswer = false
 		add(fmt.Sprintf("%d reports", i), to)
 	}
 }
 
-// proposals returns what a node may propose or pick up by its own fold.
+// proposals adds the loads and unloads that node i may propose and the orders that it may take up,
+// given the state s that it has applied.
 func (m *placementModel) proposals(w placementWorld, i int, s *ledger.State, add func(string, placementWorld)) {
 	e := s.Engines[modelEngine]
 	for _, u := range []byte(m.guards.Units) {
@@ -243,50 +258,52 @@
 		case p.Phase == ledger.Loading || p.Phase == ledger.Unloading:
 			m.orderSteps(w, i, u, p, add)
 		case p.Phase == ledger.Quarantined:
-			m.cleanup(w, i, u, p, add)
+			m.cleanupSteps(w, i, u, p, add)
 		}
 	}
 }
 
+// orderSteps adds the step in which the executor of placement p takes its order up, or in which the other
+// node takes the placement over.
 func (m *placementModel) orderSteps(w placementWorld, i int, u byte, p *ledger.Placement, add func(string, placementWorld)) {
 	n := &w.nodes[i]
 	o := order{unit: u, fence: p.Fence, unload: p.Phase == ledger.Unloading}
 	if p.Executor.Node == fmt.Sprint(i) {
-		if !n.has && !n.replied && n.wrote.fence != o.fence {
+		if !n.hasPending && !n.hasAnswer && n.lastSent.fence != o.fence {
 			to := w
-			to.nodes[i].hand, to.nodes[i].has, to.nodes[i].lapsed = o, true, o.fence <= n.expired
+			to.nodes[i].pending, to.nodes[i].hasPending, to.nodes[i].leaseExpired = o, true, o.fence <= n.expiredFence
 			add(fmt.Sprintf("%d picks up %c", i, u), to)
 		}
 		return
 	}
 	other := &w.nodes[1-i]
-	// A fenced engine's order is taken over at any suspicion; another's only
-	// after the lease of whoever holds it has surely ended.
-	leaseOver := !other.has || other.hand.unit != u || other.lapsed
+	// If the engine checks fences, any suspicion is enough for a takeover. If not, the takeover
+	// waits until the lease of the present executor has expired for certain.
+	leaseOver := !other.hasPending || other.pending.unit != u || other.leaseExpired
 	if w.takeovers < m.guards.Takeovers && (m.guards.ChecksFences || leaseOver) {
 		to := w.append("takeover", u, i, p.Fence)
 		to.takeovers++
 		if !m.guards.ChecksFences {
-			to.nodes[1-i].expired = p.Fence
+			to.nodes[1-i].expiredFence = p.Fence
 		}
 		add(fmt.Sprintf("%d takes %c over", i, u), to)
 	}
 }
 
-// quarantineOver holds when no late order can be under way any more: that is
-// what the length of a quarantine is chosen for.
+// quarantineOver reports whether no order is pending or in flight any more. A quarantine is made
+// long enough for this to hold at its end.
 func (m *placementModel) quarantineOver(w placementWorld) bool {
-	for _, sent := range w.sent {
+	for _, sent := range w.occupied {
 		if sent {
 			return false
 		}
 	}
-	return !w.nodes[0].has && !w.nodes[1].has
+	return !w.nodes[0].hasPending && !w.nodes[1].hasPending
 }
 
-// cleanup returns the steps that end a quarantine: a takeover once it is over,
-// and the last unload by whoever took it over.
-func (m *placementModel) cleanup(w placementWorld, i int, u byte, p *ledger.Placement, add func(string, placementWorld)) {
+// cleanupSteps adds the steps that end a quarantine: a takeover once it is over, then the final
+// unload by the node that took it over.
+func (m *placementModel) cleanupSteps(w placementWorld, i int, u byte, p *ledger.Placement, add func(string, placementWorld)) {
 	n := &w.nodes[i]
 	if m.guards.NoCleanup {
 		if m.quarantineOver(w) {
@@ -295,66 +312,67 @@
 		return
 	}
 	o := order{unit: u, fence: p.Fence, unload: true, cleanup: true}
-	mine := p.Executor.Node == fmt.Sprint(i)
-	if m.guards.ManyCleanups {
-		mine = m.quarantineOver(w)
+	allowed := p.Executor.Node == fmt.Sprint(i)
+	if m.guards.AnyNodeCleanup {
+		allowed = m.quarantineOver(w)
 	}
-	if mine && !n.has && !n.replied && (n.wrote != o || m.guards.ManyCleanups) {
+	if allowed && !n.hasPending && !n.hasAnswer && (n.lastSent != o || m.guards.AnyNodeCleanup) {
 		to := w
-		to.nodes[i].hand, to.nodes[i].has, to.nodes[i].lapsed = o, true, o.fence <= n.expired
+		to.nodes[i].pending, to.nodes[i].hasPending, to.nodes[i].leaseExpired = o, true, o.fence <= n.expiredFence
 		add(fmt.Sprintf("%d cleans %c up", i, u), to)
 	}
-	if !m.guards.ManyCleanups && w.cleanups < m.guards.Cleanups && m.quarantineOver(w) {
+	if !m.guards.AnyNodeCleanup && w.cleanups < m.guards.Cleanups && m.quarantineOver(w) {
 		to := w.append("takeover", u, i, p.Fence)
 		to.cleanups++
-		to.nodes[0].expired, to.nodes[1].expired = p.Fence, p.Fence
+		to.nodes[0].expiredFence, to.nodes[1].expiredFence = p.Fence, p.Fence
 		add(fmt.Sprintf("%d takes the quarantine of %c over", i, u), to)
 	}
 }
 
-// write returns the steps of a node with an order in hand.
-func (m *placementModel) write(w placementWorld, i int, add func(string, placementWorld)) {
+// sendSteps adds the steps of a node with a pending order: its lease expires, the order is dropped,
+// or the order is sent.
+func (m *placementModel) sendSteps(w placementWorld, i int, add func(string, placementWorld)) {
 	n := &w.nodes[i]
-	if !n.lapsed {
+	if !n.leaseExpired {
 		to := w
-		to.nodes[i].lapsed = true
+		to.nodes[i].leaseExpired = true
 		add(fmt.Sprintf("%d pauses past its lease", i), to)
 	}
-	if n.lapsed && !m.guards.NoLease {
+	if n.leaseExpired && !m.guards.NoLease {
 		to := w
-		to.nodes[i].has = false
-		to.nodes[i].hand = order{}
+		to.nodes[i].hasPending = false
+		to.nodes[i].pending = order{}
 		add(fmt.Sprintf("%d drops its order", i), to)
 		return
 	}
-	for slot := i * wiresPerNode; slot < (i+1)*wiresPerNode; slot++ {
-		if w.sent[slot] {
+	for slot := i * inFlightPerNode; slot < (i+1)*inFlightPerNode; slot++ {
+		if w.occupied[slot] {
 			continue
 		}
 		to := w
-		to.wire[slot], to.sent[slot] = n.hand, true
-		to.nodes[i].wrote = n.hand
-		to.nodes[i].has = false
-		to.nodes[i].hand = order{}
-		add(fmt.Sprintf("%d writes %c", i, n.hand.unit), to)
-		if !n.lapsed && !n.hand.unsure && !m.guards.ChecksFences && w.retries < m.guards.Retries {
-			// No answer comes in time: the node keeps the order to write again.
+		to.inFlight[slot], to.occupied[slot] = n.pending, true
+		to.nodes[i].lastSent = n.pending
+		to.nodes[i].hasPending = false
+		to.nodes[i].pending = order{}
+		add(fmt.Sprintf("%d writes %c", i, n.pending.unit), to)
+		if !n.leaseExpired && !n.pending.unconfirmed && !m.guards.ChecksFences && w.retries < m.guards.Retries {
+			// The answer does not come in time, so the node keeps the order to send it again.
 			again := to
 			again.retries++
-			again.nodes[i].has = true
-			again.nodes[i].hand = n.hand
-			again.nodes[i].hand.unsure = true
-			add(fmt.Sprintf("%d writes %c and will again", i, n.hand.unit), again)
+			again.nodes[i].hasPending = true
+			again.nodes[i].pending = n.pending
+			again.nodes[i].pending.unconfirmed = true
+			add(fmt.Sprintf("%d writes %c and will again", i, n.pending.unit), again)
 		}
 		return
 	}
 }
 
-// arrive lets the engine act on an order.
+// arrive returns the world after the engine has received the order in slot i and acted on it.
 func (m *placementModel) arrive(w placementWorld, i int) placementWorld {
-	o := w.wire[i]
-	w.sent[i] = false
-	w.wire[i] = order{}
+	o := w.inFlight[i]
+	w.occupied[i] = false
+	w.inFlight[i] = order{}
 	if m.guards.ChecksFences && o.fence < w.fence {
 		return w
 	}
@@ -367,32 +385,32 @@
 		w.loaded += unit
 		w.overcommitted = w.overcommitted || len(w.loaded) > 1
 	}
-	n := &w.nodes[i/wiresPerNode]
-	if n.wrote == o && !n.has {
-		n.answer, n.replied = o, true
+	n := &w.nodes[i/inFlightPerNode]
+	if n.lastSent == o && !n.hasPending {
+		n.answer, n.hasAnswer = o, true
 	}
 	return w
 }
 
-// check says what is wrong with a world: the engine overcommitted, holding a
-// replica that the ledger does not account for, or lacking one that is ready.
+// check returns an error if the engine is overcommitted, if it holds a replica that is missing from
+// the ledger, or if it lacks one that the ledger has as ready.
 func (m *placementModel) check(w placementWorld) error {
 	if w.overcommitted {
-		return fmt.Errorf("the engine is overcommitted")
+		return fmt.Errorf("the engine is overcommitted: it holds more than one unit")
 	}
-	s := m.fold(w.log, count(w.log))
+	s := m.replay(w.log, countRecords(w.log))
 	for _, u := range w.loaded {
 		if s.Find(ledger.Key{Unit: string(u), Version: modelVersion, Engine: modelEngine}) == nil {
-			return fmt.Errorf("the engine holds %c, which the ledger does not account for", u)
+			return fmt.Errorf("the engine holds %c, which has no placement in the ledger", u)
 		}
 	}
 	for _, p := range s.Engines[modelEngine].Placements {
 		if p.Phase == ledger.Ready && !strings.Contains(w.loaded, p.Unit) {
-			return fmt.Errorf("the ledger holds %s for ready, which the engine does not hold", p.Unit)
+			return fmt.Errorf("the ledger has %s as ready, but the engine has not loaded it", p.Unit)
 		}
 	}
 	if e := s.Engines[modelEngine]; e.Used > e.MemoryBytes {
-		return fmt.Errorf("the ledger overcommits the engine")
+		return fmt.Errorf("the ledger commits more memory than the engine has")
 	}
 	return nil
 }
--- a/internal/modelcheck/publish.go
+++ b/internal/modelcheck/publish.go
@@ -8,46 +8,52 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// publishWorld is one state of the model: operators read a revision, change the
-// same model's replicas and publish.
+// publishWorld is one state of the model: operators read a revision of the configuration, change
+// the same item and publish the change on the revision that they read.
 type publishWorld struct {
-	// log holds the changes: operator and base revision.
+	// log holds the first n published changes, in order.
 	log [6]publishEntry
 	n   int
-	// ops holds what each operator has read and how often it published.
+	// ops holds the state of each operator.
 	ops [2]publisher
-	// repeats counts the appends repeated after a lost answer.
+	// repeats counts the duplicated appends, as a retry after a lost answer makes them.
 	repeats int
 }
 
+// publishEntry is one change in the log: its operator, the change's number among those of the operator,
+// and the revision that it is based on.
 type publishEntry struct {
 	operator, change int
 	base             uint64
 }
 
+// publisher is an operator: the revision read last, if any, and the number of changes published.
 type publisher struct {
 	read      uint64
 	hasRead   bool
 	published int
 }
 
+// maxPublishes is how many changes each operator publishes.
 const maxPublishes = 2
 
-// Publish returns the model, with guards of the fold switched off.
+// Publish returns the model of two operators who publish changes, with the given guards of the
+// ledger switched off.
 func Publish(off ledger.Guard) explore.Model[publishWorld] {
-	m := &publishModel{off: off}
+	m := &publishModel{disabled: off}
 	return explore.Model[publishWorld]{
 		Next: m.next, Check: m.check, MaxStates: 1_000_000,
 		Key: func(w publishWorld) string { return fmt.Sprintf("%v", w) },
 	}
 }
 
-type publishModel struct{ off ledger.Guard }
+type publishModel struct{ disabled ledger.Guard }
 
-// fold returns the state and each record's outcome with the revision before it.
-func (m *publishModel) fold(w publishWorld) (*ledger.State, []ledger.Outcome, []uint64) {
+// replay applies the log and returns the state, the outcome of each record, and the revision before
+// each record.
+func (m *publishModel) replay(w publishWorld) (*ledger.State, []ledger.Outcome, []uint64) {
 	s := ledger.NewState()
-	s.Off = m.off
+	s.Off = m.disabled
 	var outcomes []ledger.Outcome
 	var before []uint64
 	for i := range w.n {
@@ -66,7 +72,7 @@
 
 func (m *publishModel) next(w publishWorld) []explore.Step[publishWorld] {
 	var out []explore.Step[publishWorld]
-	s, _, _ := m.fold(w)
+	s, _, _ := m.replay(w)
 	for i := range w.ops {
 		to := w
 		to.ops[i].read, to.ops[i].hasRead = s.Revision, true
@@ -91,22 +97,22 @@
 	return out
 }
 
-// check says what is wrong: a configuration that replaced one its operator had
-// not seen, or one that came into force twice.
+// check returns an error if a change replaced a revision other than the one it was based on, or if
+// a change was applied twice.
 func (m *publishModel) check(w publishWorld) error {
-	_, outcomes, before := m.fold(w)
-	inForce := make(map[string]bool)
+	_, outcomes, before := m.replay(w)
+	applied := make(map[string]bool)
 	for i, o := range outcomes {
 		c := o.Record.GetConfigChange()
-		if !o.OK() || o.Revision == before[i] || inForce[c.GetChangeId()] && o.Revision <= before[i] {
+		if !o.OK() || o.Revision == before[i] || applied[c.GetChangeId()] && o.Revision <= before[i] {
 			continue
 		}
-		if inForce[c.GetChangeId()] {
-			return fmt.Errorf("change %s came into force twice", c.GetChangeId())
+		if applied[c.GetChangeId()] {
+			return fmt.Errorf("change %s was applied twice", c.GetChangeId())
 		}
-		inForce[c.GetChangeId()] = true
+		applied[c.GetChangeId()] = true
 		if c.GetBaseRevision() != before[i] {
-			return fmt.Errorf("change %s was made for revision %d and replaced revision %d", c.GetChangeId(), c.GetBaseRevision(), before[i])
+			return fmt.Errorf("change %s is based on revision %d but replaced revision %d", c.GetChangeId(), c.GetBaseRevision(), before[i])
 		}
 	}
 	return nil
--- a/internal/modelcheck/snapshots.go
+++ b/internal/modelcheck/snapshots.go
@@ -8,29 +8,32 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// snapshotWorld is one state of the model: a log that is trimmed, snapshots of
-// it, and a node that boots from one and reads on.
+// snapshotWorld is one state of the model: a log that is trimmed at its start, snapshots of the
+// state, and a node that boots from the newest snapshot and reads on from there.
 type snapshotWorld struct {
-	// next is the end of the log, earliest what is still kept.
+	// next is the offset of the next record to be appended, earliest that of the first record still
+	// kept.
 	next, earliest int
-	// snapshot is the offset that the newest snapshot goes up to; 0 for none.
+	// snapshot is the offset up to which the newest snapshot covers the log, exclusive; 0 if there
+	// is none.
 	snapshot int
-	// booted is set once the node has taken a state, read how far it is.
+	// booted is set once the node has restored a snapshot; read is the offset that it reads next.
 	booted bool
 	read   int
-	// skipped is set when the node read on across a gap.
+	// skipped is set when the node read on after a gap in the log.
 	skipped bool
 }
 
+// maxEntries bounds the length of the log, in records.
 const maxEntries = 6
 
-// SnapshotGuards are the guards of booting.
+// SnapshotGuards selects the guards of the boot protocol that the model runs without.
 type SnapshotGuards struct {
-	// NoGapCheck reads on after a gap as if nothing were missing.
+	// NoGapCheck lets the node read on after a gap as if no record were missing.
 	NoGapCheck bool
 }
 
-// Snapshots returns the model.
+// Snapshots returns the model of a node that boots while the log is trimmed.
 func Snapshots(g SnapshotGuards) explore.Model[snapshotWorld] {
 	return explore.Model[snapshotWorld]{
 		Next:  func(w snapshotWorld) []explore.Step[snapshotWorld] { return snapshotSteps(w, g) },
@@ -39,6 +42,7 @@
 	}
 }
 
+// snapshotSteps returns the steps that are possible in world w.
 func snapshotSteps(w snapshotWorld, g SnapshotGuards) []explore.Step[snapshotWorld] {
 	var out []explore.Step[snapshotWorld]
 	add := func(name string, to snapshotWorld) {
@@ -54,8 +58,8 @@
 		to.snapshot = w.next
 		add("snapshot", to)
 	}
-	// Retention is longer than the time between snapshots, so the log is never
-	// trimmed beyond the newest one.
+	// Records are retained for longer than the time between snapshots, so the log is never trimmed
+	// beyond the newest snapshot.
 	if w.earliest < w.snapshot {
 		to := w
 		to.earliest++
@@ -67,12 +71,13 @@
 		add("boot", to)
 	}
 	if w.booted && w.read < w.next {
-		add("read", readOn(w, g))
+		add("read", readNext(w, g))
 	}
 	return out
 }
 
-func readOn(w snapshotWorld, g SnapshotGuards) snapshotWorld {
+// readNext returns the world after the node has read the next record, or has found that it was trimmed.
+func readNext(w snapshotWorld, g SnapshotGuards) snapshotWorld {
 	if w.read >= w.earliest {
 		w.read++
 		return w
@@ -82,21 +87,22 @@
 		w.read = w.earliest + 1
 		return w
 	}
-	// What comes next was trimmed: the node takes a newer state.
+	// The next record was trimmed: the node boots again from a newer snapshot.
 	w.booted, w.read = false, 0
 	return w
 }
 
-// checkSnapshots folds what the node has read through a real snapshot and
-// compares it with the fold of the whole log.
+// checkSnapshots returns an error if the state of a node that has read the whole log differs from
+// the state after applying the whole log. The node's state passes through an encoded snapshot at
+// the snapshot's offset.
 func checkSnapshots(w snapshotWorld) error {
 	if !w.booted || w.read < w.next {
 		return nil
 	}
-	whole := ledger.NewState()
+	full := ledger.NewState()
 	for i := range w.next {
-		whole.Apply(uint64(i), claimEntry(i))
-		whole.NextOffset = uint64(i) + 1
+		full.Apply(uint64(i), claimEntry(i))
+		full.NextOffset = uint64(i) + 1
 	}
 	node := ledger.NewState()
 	from := 0
@@ -114,7 +120,7 @@
 		node.Apply(uint64(i), claimEntry(i))
 		node.NextOffset = uint64(i) + 1
 	}
-	_, a, err := ledger.Encode(whole.Snapshot())
+	_, a, err := ledger.Encode(full.Snapshot())
 	if err != nil {
 		return err
 	}
@@ -123,11 +129,12 @@
 		return err
 	}
 	if a != b {
-		return fmt.Errorf("the booted node's state differs from the fold of the whole log")
+		return fmt.Errorf("the state of the booted node differs from the state after applying the full log")
 	}
 	return nil
 }
 
+// claimEntry returns the record at offset i: a claim of its own.
 func claimEntry(i int) *pb.Record {
 	id := make([]byte, len(ledger.ClaimID{}))
 	id[0] = byte(i)
