--- a/cmd/olivebench/quarantine.go
+++ b/cmd/olivebench/quarantine.go
@@ -47,8 +47,8 @@
 	for seed := range c.Seeds {
 		cfg := quarantinelab.Default
 		cfg.Seed, cfg.Nodes, cfg.Engines, cfg.Rate, cfg.Duration = uint64(seed+1), c.Nodes, c.Engines, c.Rate, c.Duration
-		cfg.Deadly, cfg.Repeat, cfg.Crash, cfg.Outside, cfg.Rack = c.Deadly, c.Repeat, c.Crash, c.Outside, c.Rack
-		cfg.HolderLost, cfg.Frozen, cfg.Replaced, cfg.Drop, cfg.Off = c.HolderLost, c.Frozen, c.Replaced, c.Drop, off
+		cfg.Deadly, cfg.RepeatInterval, cfg.CrashDelay, cfg.UnrelatedShare, cfg.CrashGroup = c.Deadly, c.Repeat, c.Crash, c.Outside, c.Rack
+		cfg.HolderLosses, cfg.Pauses, cfg.Replacements, cfg.LossRate, cfg.Disabled = c.HolderLost, c.Frozen, c.Replaced, c.Drop, off
 		out = append(out, quarantinelab.Run(cfg))
 	}
 	return out
--- a/internal/quarantinelab/config.go
+++ b/internal/quarantinelab/config.go
@@ -2,92 +2,100 @@
 
 import "time"
 
-// Config is one experiment.
+// Config describes one experiment.
 type Config struct {
 	Seed uint64
-	// Nodes and Engines are how many there are; Models how many the engines serve, each on Copies of
-	// them.
+	// Nodes and Engines are the numbers of nodes and engines.
 	Nodes, Engines int
-	Duration       time.Duration
-	// Rate is how many proper requests come a second; Run is how long one runs on the mean.
-	Rate float64
-	Run  time.Duration
-	// Deadly is how many requests end each engine that begins them, one series after the other; each
-	// comes again after Repeat on the mean. Crash is how long an engine takes to end under one.
-	Deadly        int
-	Repeat, Crash time.Duration
-	// Outside is the share of the engines that end for other reasons over the duration, and Rack how
-	// many end together then.
-	Outside float64
-	Rack    int
-	// Back is how long an engine takes to start again.
-	Back time.Duration
-	// Attempts bounds the engines that one try is sent to; callers try twice.
+	// Duration is the length of the experiment in virtual time.
+	Duration time.Duration
+	// Rate is the number of harmless requests per second; MeanRun is how long one runs on average.
+	Rate    float64
+	MeanRun time.Duration
+	// Deadly is the number of requests that crash every engine that runs them. Each has an equal
+	// part of the experiment, in which callers send it again after RepeatInterval on average.
+	// CrashDelay is how long an engine runs such a request until it crashes: from half of it up to
+	// all of it.
+	Deadly                     int
+	RepeatInterval, CrashDelay time.Duration
+	// UnrelatedShare is the share of the engines that crash for other reasons over the experiment
+	// (above 1, engines crash more than once); CrashGroup is how many of them crash at the same
+	// moment.
+	UnrelatedShare float64
+	CrashGroup     int
+	// RestartTime is how long an engine takes to restart after a crash.
+	RestartTime time.Duration
+	// Attempts is the number of engines that a node sends one try of a request to; callers make two
+	// tries.
 	Attempts int
-	// HolderLost is how often the node that unites all blames is lost, for HolderGap each time.
-	HolderLost int
-	HolderGap  time.Duration
-	// Frozen is how many nodes stand still for FrozenFor at some time, and Replaced how many are
-	// replaced by one that knows only what the store keeps.
-	Frozen    int
-	FrozenFor time.Duration
-	Replaced  int
-	// Drop is the share of messages that are lost.
-	Drop float64
-	// Off switches the mechanism off.
-	Off bool
-	// Contact is how long a node must have been well to count as in touch.
-	Contact time.Duration
+	// HolderLosses is how often the lease holder is lost; after HolderGap another node takes over.
+	HolderLosses int
+	HolderGap    time.Duration
+	// Pauses is how often a random node pauses, for PauseTime each; Replacements is how often a
+	// node is replaced by a new one that knows only the verdicts in the store.
+	Pauses       int
+	PauseTime    time.Duration
+	Replacements int
+	// LossRate is the share of messages between nodes that are lost, from 0 to 1.
+	LossRate float64
+	// Disabled switches the quarantine off.
+	Disabled bool
+	// ContactTime is how long a node must have run without a pause to count as connected.
+	ContactTime time.Duration
 }
 
-// Default is a small deployment under one series after the other.
+// Default is a small deployment with three crashing requests, one after the other.
 var Default = Config{
-	Seed: 1, Nodes: 6, Engines: 9, Duration: 90 * time.Second, Rate: 40, Run: 1500 * time.Millisecond,
-	Deadly: 3, Repeat: time.Second, Crash: 80 * time.Millisecond, Rack: 1, Back: 4500 * time.Millisecond, Attempts: 2,
-	HolderGap: 3 * time.Second, FrozenFor: 4 * time.Second, Contact: 3 * time.Second,
+	Seed: 1, Nodes: 6, Engines: 9, Duration: 90 * time.Second, Rate: 40, MeanRun: 1500 * time.Millisecond,
+	Deadly: 3, RepeatInterval: time.Second, CrashDelay: 80 * time.Millisecond, CrashGroup: 1, RestartTime: 4500 * time.Millisecond, Attempts: 2,
+	HolderGap: 3 * time.Second, PauseTime: 4 * time.Second, ContactTime: 3 * time.Second,
 }
 
-// Times of messages and of what surrounds them, as measured on nodes of a small deployment.
+// Latencies and intervals of a small deployment.
 const (
-	// sendTime is a request's way to an engine, and queueTime the mean wait there.
-	sendTime  = 3 * time.Millisecond
-	queueTime = 30 * time.Millisecond
-	// noticeTime is from an engine's end to the blame, spread over as much again.
-	noticeTime = 4 * time.Millisecond
-	// reportTime is a report's way to the holder, and pushTime that of news to a node; each takes up
-	// to as much again.
-	reportTime = 15 * time.Millisecond
-	pushTime   = 20 * time.Millisecond
-	// reportEvery is when a report that was lost, or had nobody to go to, is sent again.
-	reportEvery = 300 * time.Millisecond
-	// exchangeEvery is the time between two rounds of nodes without a holder, each with
-	// exchangePeers of hubs nodes.
-	exchangeEvery = 300 * time.Millisecond
-	exchangePeers = 2
-	hubs          = 8
-	// callerPause is the mean pause of a caller before its second try.
-	callerPause = 300 * time.Millisecond
-	// keepTime is how long the store takes to keep a verdict.
-	keepTime = 10 * time.Millisecond
+	// requestLatency is the time of a request from node to engine, and queueTime the mean wait at
+	// the engine.
+	requestLatency = 3 * time.Millisecond
+	queueTime      = 30 * time.Millisecond
+	// detectionTime is the time from a crash until a node notices it; it varies between one and two
+	// times this value.
+	detectionTime = 4 * time.Millisecond
+	// reportLatency is the time of a report from a node to the lease holder, pushLatency that of an
+	// update from the lease holder to a node; both vary between one and two times their value.
+	reportLatency = 15 * time.Millisecond
+	pushLatency   = 20 * time.Millisecond
+	// retryInterval is the time after which a report or an update that did not arrive is sent
+	// again.
+	retryInterval = 300 * time.Millisecond
+	// exchangeInterval is the time between two rounds in which nodes without a lease holder
+	// exchange what they know. In a round each node contacts exchangePeers random nodes among the
+	// first exchangeTargets nodes.
+	exchangeInterval = 300 * time.Millisecond
+	exchangePeers    = 2
+	exchangeTargets  = 8
+	// callerBackoff is the mean time before a caller makes its second try.
+	callerBackoff = 300 * time.Millisecond
+	// storeWriteTime is how long the store takes to write a verdict.
+	storeWriteTime = 10 * time.Millisecond
 )
 
-// Result is what an experiment came to.
+// Result holds the figures of an experiment.
 type Result struct {
-	// Proper counts proper requests, Served those that were, and Bystanders those that were refused
-	// as if they ended engines.
+	// Proper counts the harmless requests, Served those that got an answer, and Bystanders those
+	// that were refused as if they crashed engines.
 	Proper, Served, Bystanders int
-	// Ends are the engines that each deadly request ended, in the order of the series.
+	// Ends counts the engines that each crashing request crashed, in the order of the series.
 	Ends []int
-	// Before are those of them until it was convicted; the others had it at that moment.
+	// Before counts those of Ends that the request crashed before its verdict.
 	Before []int
-	// Late counts, for each deadly request, the sendings of nodes in touch later than Contact after
-	// the third end.
+	// Late counts how often connected nodes sent each crashing request later than ContactTime after
+	// it had crashed its third engine.
 	Late []int
-	// Everywhere is, for each deadly request, the time from its verdict to the last node in reach that
-	// hears of it.
+	// Everywhere is, for each crashing request, the time from its verdict until the last node that
+	// was running at the verdict has received it.
 	Everywhere []time.Duration
-	// Outside counts the engines that ended for other reasons.
+	// Outside counts the engines that crashed for other reasons.
 	Outside int
-	// Messages and Bytes are what nodes told each other, encoded as they are on the wire.
+	// Messages and Bytes count the messages between nodes and their size as encoded on the wire.
 	Messages, Bytes int
 }
--- a/internal/quarantinelab/doc.go
+++ b/internal/quarantinelab/doc.go
@@ -1,10 +1,13 @@
-// Package quarantinelab plays requests that end engines against the product's own decisions
-// (core/quarantine) in virtual time, and counts what they cost: the same seed gives the same figures.
+// Package quarantinelab simulates requests that crash the engines that run them, in virtual time.
+// It measures how many engines such a request crashes until it is quarantined, how many harmless
+// requests are refused by mistake, and how much traffic between nodes this takes. The same seed
+// gives the same figures. Its callers are the quarantine command of olivebench and the tests.
 //
-// The problem: whether such requests are found soon, and proper ones let alone, shows over many
-// series of them, beside engines that end for other reasons, nodes that fall silent, start anew or lose
-// their holder. The model: an event loop over arrivals, runs, ends of engines and messages. Engines and
-// messages are modelled (how long a run, a report and a push take, which are lost); what is blamed,
-// joined, weighed and kept is decided by a registry and a tracker for each node, as in a running
-// one.
+// The simulation is an event loop over arrivals, runs, crashes of engines and messages. Engines and
+// messages are modelled: how long a run, a report and a push take, and which messages are lost.
+// Every decision about suspicions and verdicts is made by a registry and a tracker
+// (core/quarantine) for each node, as in a running node. One node, the lease holder, merges the
+// suspicions of all nodes; while there is none, the nodes exchange them with each other. Many
+// series of requests are needed to measure this, besides engines that crash for other reasons and
+// nodes that pause, are replaced or lose their lease holder.
 package quarantinelab
--- a/internal/quarantinelab/messages.go
+++ b/internal/quarantinelab/messages.go
@@ -4,189 +4,198 @@
 	"olivetiller/core/quarantine"
 )
 
-func (l *lab) lost() bool { return l.rnd.Float64() < l.cfg.Drop }
+// drawLoss reports whether the next message is lost.
+func (s *simulation) drawLoss() bool { return s.rnd.Float64() < s.cfg.LossRate }
 
-// setHolder makes a node the one that unites all blames; nil for none.
-func (l *lab) setHolder(n *node) {
-	if l.holder != nil {
-		l.holder.registry.SetWhole(false)
+// setHolder makes a node the lease holder, or nil for none. All nodes report to a new lease holder
+// from the beginning.
+func (s *simulation) setHolder(n *node) {
+	if s.holder != nil {
+		s.holder.registry.SetWhole(false)
 	}
-	l.holder = n
+	s.holder = n
 	if n == nil {
 		return
 	}
 	n.registry.SetWhole(true)
-	n.reporting = false
-	for _, o := range l.nodes {
-		o.reportedTo, o.toldTo = 0, 0
-		l.report(o)
+	n.reportDue = false
+	for _, o := range s.nodes {
+		o.reportedVersion, o.receivedVersion = 0, 0
+		s.report(o)
 	}
-	l.judge(n)
+	s.decide(n)
 }
 
-// loseHolder has the holder fall silent, and another one take over.
-func (l *lab) loseHolder() {
-	if l.holder == nil {
+// loseHolder pauses the lease holder; another node takes over after HolderGap.
+func (s *simulation) loseHolder() {
+	if s.holder == nil {
 		return
 	}
-	old := l.holder
-	l.setHolder(nil)
-	// Without one, each node judges by what it knows.
-	for _, n := range l.nodes {
+	old := s.holder
+	s.setHolder(nil)
+	// Without a lease holder, each node decides by what it knows.
+	for _, n := range s.nodes {
 		n.registry.SetWhole(true)
-		l.judge(n)
+		s.decide(n)
 	}
-	old.frozenUntil = l.now + l.cfg.HolderGap
-	old.wellSince = old.frozenUntil
-	l.after(l.cfg.HolderGap, func() {
-		for _, n := range l.nodes {
+	old.pausedUntil = s.now + s.cfg.HolderGap
+	old.healthySince = old.pausedUntil
+	s.after(s.cfg.HolderGap, func() {
+		for _, n := range s.nodes {
 			n.registry.SetWhole(false)
 		}
-		l.setHolder(l.nodes[(old.index+1)%len(l.nodes)])
+		s.setHolder(s.nodes[(old.index+1)%len(s.nodes)])
 	})
 }
 
-// freeze has a node stand still.
-func (l *lab) freeze() {
-	n := l.nodes[l.rnd.IntN(len(l.nodes))]
-	if n == l.holder {
+// pause pauses a random node, unless it is the lease holder.
+func (s *simulation) pause() {
+	n := s.nodes[s.rnd.IntN(len(s.nodes))]
+	if n == s.holder {
 		return
 	}
-	n.frozenUntil = l.now + l.cfg.FrozenFor
-	n.wellSince = n.frozenUntil
+	n.pausedUntil = s.now + s.cfg.PauseTime
+	n.healthySince = n.pausedUntil
 }
 
-// replace puts a node that knows what the store keeps in the place of another.
-func (l *lab) replace() {
-	i := l.rnd.IntN(len(l.nodes))
-	if l.nodes[i] == l.holder {
+// replace replaces a random node, unless it is the lease holder, by a new one that knows only the
+// stored verdicts.
+func (s *simulation) replace() {
+	i := s.rnd.IntN(len(s.nodes))
+	if s.nodes[i] == s.holder {
 		return
 	}
-	n := l.newNode(i)
-	n.wellSince = l.now
-	for _, e := range l.kept {
-		n.registry.Merge([]quarantine.Entry{e}, l.time())
+	n := s.newNode(i)
+	n.healthySince = s.now
+	for _, e := range s.stored {
+		n.registry.Merge([]quarantine.Entry{e}, s.time())
 	}
-	l.nodes[i] = n
-	l.report(n)
+	s.nodes[i] = n
+	s.report(n)
 }
 
-// report has a node tell the holder what it knows by itself.
-func (l *lab) report(n *node) {
-	if n.reporting || n == l.holder {
-		l.told(n)
+// report schedules a report of the node's own suspicions to the lease holder. On the lease holder
+// itself it publishes.
+func (s *simulation) report(n *node) {
+	if n.reportDue || n == s.holder {
+		s.publish(n)
 		return
 	}
-	n.reporting = true
-	l.after(l.about(reportTime), func() { l.deliver(n) })
+	n.reportDue = true
+	s.after(s.between(reportLatency), func() { s.deliver(n) })
 }
 
-// deliver brings a report to the holder.
-func (l *lab) deliver(n *node) {
-	n.reporting = false
-	h := l.holder
-	if h == nil || h.frozenUntil > l.now || n.frozenUntil > l.now || l.lost() {
-		n.reporting = true
-		l.after(reportEvery, func() { l.deliver(n) })
+// deliver delivers a report to the lease holder, or schedules a retry if it cannot arrive.
+func (s *simulation) deliver(n *node) {
+	n.reportDue = false
+	h := s.holder
+	if h == nil || h.pausedUntil > s.now || n.pausedUntil > s.now || s.drawLoss() {
+		n.reportDue = true
+		s.after(retryInterval, func() { s.deliver(n) })
 		return
 	}
-	entries, to := n.registry.Since(n.reportedTo, quarantine.Own)
-	n.reportedTo = to
+	entries, to := n.registry.Since(n.reportedVersion, quarantine.Own)
+	n.reportedVersion = to
 	if len(entries) == 0 {
 		return
 	}
-	l.size(entries)
-	h.registry.Merge(entries, l.time())
-	l.settle(h)
-	l.told(h)
+	s.countMessage(entries)
+	h.registry.Merge(entries, s.time())
+	s.scheduleDecision(h)
+	s.publish(h)
 }
 
-// told has the holder tell all nodes what concerns them, and the store keep verdicts.
-func (l *lab) told(h *node) {
-	l.noteVerdicts(h)
-	if h != l.holder {
+// publish sends the lease holder's updates to all nodes and stores its verdicts. On any other node
+// it only records verdicts for the figures.
+func (s *simulation) publish(h *node) {
+	s.recordVerdicts(h)
+	if h != s.holder {
 		return
 	}
-	for _, n := range l.nodes {
+	for _, n := range s.nodes {
 		if n != h {
-			l.after(l.about(pushTime), func() { l.push(h, n) })
+			s.after(s.between(pushLatency), func() { s.push(h, n) })
 		}
 	}
-	l.after(keepTime, func() { l.keep(h) })
+	s.after(storeWriteTime, func() { s.storeVerdicts(h) })
 }
 
-func (l *lab) push(h, n *node) {
-	if h != l.holder || n.toldTo >= h.registry.ToldVersion() {
+// push delivers an update from lease holder h to node n, or schedules a retry if it cannot arrive.
+func (s *simulation) push(h, n *node) {
+	if h != s.holder || n.receivedVersion >= h.registry.ToldVersion() {
 		return
 	}
-	if n.frozenUntil > l.now || l.lost() {
-		l.after(max(reportEvery, n.frozenUntil-l.now), func() { l.push(h, n) })
+	if n.pausedUntil > s.now || s.drawLoss() {
+		s.after(max(retryInterval, n.pausedUntil-s.now), func() { s.push(h, n) })
 		return
 	}
-	entries, to := h.registry.Since(n.toldTo, quarantine.Concerning)
-	n.toldTo = to
+	entries, to := h.registry.Since(n.receivedVersion, quarantine.Concerning)
+	n.receivedVersion = to
 	if len(entries) == 0 {
 		return
 	}
-	l.size(entries)
-	n.registry.Merge(entries, l.time())
-	l.settle(n)
-	l.noteVerdicts(n)
+	s.countMessage(entries)
+	n.registry.Merge(entries, s.time())
+	s.scheduleDecision(n)
+	s.recordVerdicts(n)
 }
 
-// keep has the store keep the verdicts of a node.
-func (l *lab) keep(h *node) {
+// storeVerdicts writes the verdicts of a node to the store, without the suspicions behind them.
+func (s *simulation) storeVerdicts(h *node) {
 	entries, _ := h.registry.Since(0, quarantine.Concerning)
 	for _, e := range entries {
 		if e.Verdict != nil {
 			e.Blames = nil
-			l.kept[e.Request] = e
+			s.stored[e.Request] = e
 		}
 	}
 }
 
-// noteVerdicts notes when deadly requests are convicted, and known to be by the last node in reach.
-func (l *lab) noteVerdicts(n *node) {
-	for i, r := range l.deadly {
-		if n.registry.State(r.f) != quarantine.Quarantined {
+// recordVerdicts records for the figures when crashing requests are quarantined first, and when the
+// nodes that were running at that moment have received the verdict.
+func (s *simulation) recordVerdicts(n *node) {
+	for i, r := range s.deadly {
+		if n.registry.State(r.fingerprint) != quarantine.Quarantined {
 			continue
 		}
-		if l.knownTo[i] == nil {
-			l.knownTo[i], l.verdictAt[i] = make(map[*node]bool), l.now
+		if s.receivedBy[i] == nil {
+			s.receivedBy[i], s.verdictAt[i] = make(map[*node]bool), s.now
 		}
-		if !l.knownTo[i][n] && n.wellSince <= l.verdictAt[i] {
-			l.result.Everywhere[i] = max(l.result.Everywhere[i], l.now-l.verdictAt[i])
+		if !s.receivedBy[i][n] && n.healthySince <= s.verdictAt[i] {
+			s.result.Everywhere[i] = max(s.result.Everywhere[i], s.now-s.verdictAt[i])
 		}
-		l.knownTo[i][n] = true
+		s.receivedBy[i][n] = true
 	}
 }
 
-// exchange has nodes without a holder tell others all that they know.
-func (l *lab) exchange() {
-	if l.holder == nil && !l.cfg.Off {
-		for _, n := range l.nodes {
+// exchange runs a round in which nodes without a lease holder exchange all that they know, and
+// schedules the next one.
+func (s *simulation) exchange() {
+	if s.holder == nil && !s.cfg.Disabled {
+		for _, n := range s.nodes {
 			for range exchangePeers {
-				l.exchangeWith(n, l.nodes[l.rnd.IntN(min(hubs, len(l.nodes)))])
+				s.exchangeWith(n, s.nodes[s.rnd.IntN(min(exchangeTargets, len(s.nodes)))])
 			}
 		}
 	}
-	l.after(exchangeEvery, l.exchange)
+	s.after(exchangeInterval, s.exchange)
 }
 
-func (l *lab) exchangeWith(n, o *node) {
-	if n == o || n.frozenUntil > l.now || o.frozenUntil > l.now || l.lost() {
+// exchangeWith sends what n knows to o, and the reverse.
+func (s *simulation) exchangeWith(n, o *node) {
+	if n == o || n.pausedUntil > s.now || o.pausedUntil > s.now || s.drawLoss() {
 		return
 	}
 	for _, way := range [][2]*node{{n, o}, {o, n}} {
 		from, to := way[0], way[1]
-		entries, version := from.registry.Since(from.marks[to], quarantine.All)
-		from.marks[to] = version
+		entries, version := from.registry.Since(from.exchangedVersions[to], quarantine.All)
+		from.exchangedVersions[to] = version
 		if len(entries) == 0 {
 			continue
 		}
-		l.size(entries)
-		to.registry.Merge(entries, l.time())
-		l.settle(to)
-		l.noteVerdicts(to)
+		s.countMessage(entries)
+		to.registry.Merge(entries, s.time())
+		s.scheduleDecision(to)
+		s.recordVerdicts(to)
 	}
 }
--- a/internal/quarantinelab/simulation.go
+++ b/internal/quarantinelab/simulation.go
@@ -13,16 +13,18 @@
 	"olivetiller/io/peer"
 )
 
-// base is when an experiment begins.
-var base = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// epoch is the start of each experiment.
+var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// event is something that happens at a moment.
+// event is a function due at a virtual time. Events of the same time run in the order in which they
+// were scheduled.
 type event struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
+// events is a heap of events; the earliest is on top.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -37,42 +39,46 @@
 	return last
 }
 
-// node is one node with what it knows.
+// node is one node with its registry and tracker.
 type node struct {
 	index    int
 	registry *quarantine.Registry
 	tracker  *quarantine.Tracker
-	// suspects counts its runs at engines of requests under which engines may end.
-	suspects map[*engine]int
-	// reportedTo and toldTo are as far as it told the holder, and the holder it.
-	reportedTo, toldTo uint64
-	// reporting is set while a report is due.
-	reporting bool
-	// frozenUntil is when it goes on; wellSince since when it has been well.
-	frozenUntil, wellSince time.Duration
-	// marks are as far as it told other nodes.
-	marks map[*node]uint64
-}
-
-// engine is one engine; a new life of it has another number.
+	// suspectRuns counts, for each engine, the node's runs of suspected or isolated requests there.
+	suspectRuns map[*engine]int
+	// reportedVersion is the version of the node's registry last reported to the lease holder, and
+	// receivedVersion that of the lease holder's registry last sent to the node.
+	reportedVersion, receivedVersion uint64
+	// reportDue is set while a report to the lease holder is scheduled.
+	reportDue bool
+	// pausedUntil is the time until which the node is paused; healthySince is when it last started
+	// or resumed.
+	pausedUntil, healthySince time.Duration
+	// exchangedVersions holds the version of the node's registry last sent to each other node.
+	exchangedVersions map[*node]uint64
+}
+
+// engine is one engine; incarnation counts its restarts.
 type engine struct {
-	index, life int
-	up          bool
-	runs        map[*run]bool
+	index, incarnation int
+	up                 bool
+	runs               map[*run]bool
 }
 
 func (e *engine) name() string { return fmt.Sprint("e", e.index) }
 
-// request is what callers send again and again.
+// request is a request that callers may send several times.
 type request struct {
-	f quarantine.Fingerprint
-	// deadly is its number among the deadly ones, -1 for a proper one.
+	fingerprint quarantine.Fingerprint
+	// deadly is the index among the crashing requests, -1 for a harmless one.
 	deadly int
 	tries  int
-	avoid  []*engine
+	// avoid lists the engines on which earlier attempts broke.
+	avoid []*engine
 }
 
-// run is one request at one engine.
+// run is one request at one engine, sent by one node. suspect is set if the request was suspected
+// or isolated when it was sent.
 type run struct {
 	r       *request
 	n       *node
@@ -82,8 +88,8 @@
 	suspect bool
 }
 
-// lab is one experiment in progress.
-type lab struct {
+// simulation is the state of a running experiment.
+type simulation struct {
 	cfg     Config
 	rnd     *rand.Rand
 	now     time.Duration
@@ -91,185 +97,194 @@
 	queue   events
 	nodes   []*node
 	engines []*engine
-	// holder is the node that unites all blames; nil while there is none.
+	// holder is the lease holder, which merges the suspicions of all nodes; nil while there is
+	// none.
 	holder *node
-	// kept is what the store keeps.
-	kept    map[quarantine.Fingerprint]quarantine.Entry
-	deadly  []*request
-	thirdAt []time.Duration
-	// verdictAt is when a deadly request was convicted first, and knownTo the nodes that know it.
-	verdictAt []time.Duration
-	knownTo   []map[*node]bool
-	result    Result
-	requests  int
-}
-
-// Run plays an experiment.
+	// stored holds the verdicts written to the store.
+	stored map[quarantine.Fingerprint]quarantine.Entry
+	deadly []*request
+	// thirdCrashAt is when each crashing request crashed its third engine.
+	thirdCrashAt []time.Duration
+	// verdictAt is when each crashing request was quarantined first, and receivedBy the nodes that
+	// have received its verdict.
+	verdictAt    []time.Duration
+	receivedBy   []map[*node]bool
+	result       Result
+	requestCount int
+}
+
+// Run runs an experiment and returns its figures.
 func Run(cfg Config) Result {
-	l := &lab{
-		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), kept: make(map[quarantine.Fingerprint]quarantine.Entry),
-		thirdAt: make([]time.Duration, cfg.Deadly), verdictAt: make([]time.Duration, cfg.Deadly), knownTo: make([]map[*node]bool, cfg.Deadly),
+	s := &simulation{
+		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), stored: make(map[quarantine.Fingerprint]quarantine.Entry),
+		thirdCrashAt: make([]time.Duration, cfg.Deadly), verdictAt: make([]time.Duration, cfg.Deadly), receivedBy: make([]map[*node]bool, cfg.Deadly),
 	}
-	l.result = Result{Ends: make([]int, cfg.Deadly), Before: make([]int, cfg.Deadly), Late: make([]int, cfg.Deadly), Everywhere: make([]time.Duration, cfg.Deadly)}
+	s.result = Result{Ends: make([]int, cfg.Deadly), Before: make([]int, cfg.Deadly), Late: make([]int, cfg.Deadly), Everywhere: make([]time.Duration, cfg.Deadly)}
 	for i := range cfg.Nodes {
-		l.nodes = append(l.nodes, l.newNode(i))
+		s.nodes = append(s.nodes, s.newNode(i))
 	}
 	for i := range cfg.Engines {
-		l.engines = append(l.engines, &engine{index: i, up: true, runs: make(map[*run]bool)})
+		s.engines = append(s.engines, &engine{index: i, up: true, runs: make(map[*run]bool)})
 	}
-	l.setHolder(l.nodes[0])
-	l.schedule()
-	for len(l.queue) > 0 {
-		e := heap.Pop(&l.queue).(event)
+	s.setHolder(s.nodes[0])
+	s.schedule()
+	for len(s.queue) > 0 {
+		e := heap.Pop(&s.queue).(event)
 		if e.at > cfg.Duration {
 			break
 		}
-		l.now = e.at
+		s.now = e.at
 		e.do()
 	}
-	return l.result
+	return s.result
 }
 
-func (l *lab) newNode(i int) *node {
+// newNode returns a node with an empty registry and tracker.
+func (s *simulation) newNode(i int) *node {
 	n := &node{
-		index: i, registry: quarantine.NewRegistry(base), tracker: quarantine.NewTracker(),
-		suspects: make(map[*engine]int), marks: make(map[*node]uint64),
+		index: i, registry: quarantine.NewRegistry(epoch), tracker: quarantine.NewTracker(),
+		suspectRuns: make(map[*engine]int), exchangedVersions: make(map[*node]uint64),
 	}
-	n.registry.SetEngines(l.cfg.Engines)
+	n.registry.SetEngines(s.cfg.Engines)
 	n.registry.SetWhole(false)
 	return n
 }
 
-func (l *lab) time() time.Time { return base.Add(l.now) }
+func (s *simulation) time() time.Time { return epoch.Add(s.now) }
 
-// after has something done later.
-func (l *lab) after(d time.Duration, do func()) {
-	l.seq++
-	heap.Push(&l.queue, event{l.now + d, l.seq, do})
+// after schedules do to run after d.
+func (s *simulation) after(d time.Duration, do func()) {
+	s.seq++
+	heap.Push(&s.queue, event{s.now + d, s.seq, do})
 }
 
-// about draws a time between one and two times d.
-func (l *lab) about(d time.Duration) time.Duration {
-	return d + time.Duration(l.rnd.Int64N(int64(d)+1))
+// between draws a uniformly distributed time between d and twice d.
+func (s *simulation) between(d time.Duration) time.Duration {
+	return d + time.Duration(s.rnd.Int64N(int64(d)+1))
 }
 
-// mean draws an exponential time.
-func (l *lab) mean(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * -math.Log(1-l.rnd.Float64()))
+// exponential draws an exponentially distributed time with mean d.
+func (s *simulation) exponential(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * -math.Log(1-s.rnd.Float64()))
 }
 
-// within draws a moment of the middle of the experiment.
-func (l *lab) within() time.Duration {
-	return l.cfg.Duration/20 + time.Duration(l.rnd.Int64N(int64(l.cfg.Duration*9/10)))
+// randomMoment draws a moment between 5% and 95% of the experiment.
+func (s *simulation) randomMoment() time.Duration {
+	return s.cfg.Duration/20 + time.Duration(s.rnd.Int64N(int64(s.cfg.Duration*9/10)))
 }
 
-// schedule lays down what comes by itself.
-func (l *lab) schedule() {
-	l.arrive()
-	for i := range l.cfg.Deadly {
-		r := l.request(i)
-		l.deadly = append(l.deadly, r)
-		series := l.cfg.Duration / time.Duration(l.cfg.Deadly)
+// schedule schedules the arrivals, the series of crashing requests, and the faults.
+func (s *simulation) schedule() {
+	s.arrive()
+	for i := range s.cfg.Deadly {
+		r := s.newRequest(i)
+		s.deadly = append(s.deadly, r)
+		series := s.cfg.Duration / time.Duration(s.cfg.Deadly)
 		from, to := series*time.Duration(i)+2*time.Second, series*time.Duration(i+1)
-		l.after(from, func() { l.repeat(r, to) })
+		s.after(from, func() { s.repeat(r, to) })
 	}
-	racks := int(l.cfg.Outside*float64(l.cfg.Engines)/float64(max(1, l.cfg.Rack)) + 0.5)
-	for range racks {
-		l.after(l.within(), l.crashOutside)
+	groups := int(s.cfg.UnrelatedShare*float64(s.cfg.Engines)/float64(max(1, s.cfg.CrashGroup)) + 0.5)
+	for range groups {
+		s.after(s.randomMoment(), s.crashUnrelated)
 	}
-	for range l.cfg.HolderLost {
-		l.after(l.within(), l.loseHolder)
+	for range s.cfg.HolderLosses {
+		s.after(s.randomMoment(), s.loseHolder)
 	}
-	for range l.cfg.Frozen {
-		l.after(l.within(), l.freeze)
+	for range s.cfg.Pauses {
+		s.after(s.randomMoment(), s.pause)
 	}
-	for range l.cfg.Replaced {
-		l.after(l.within(), l.replace)
+	for range s.cfg.Replacements {
+		s.after(s.randomMoment(), s.replace)
 	}
-	l.after(exchangeEvery, l.exchange)
+	s.after(exchangeInterval, s.exchange)
 }
 
-func (l *lab) request(deadly int) *request {
-	l.requests++
-	d := quarantine.DigestOf("POST", "h", fmt.Sprint("/", l.requests), nil)
-	return &request{f: quarantine.FingerprintOf("", d), deadly: deadly}
+// newRequest returns a request with a fingerprint of its own; deadly is its index among the crashing
+// requests, or -1.
+func (s *simulation) newRequest(deadly int) *request {
+	s.requestCount++
+	d := quarantine.DigestOf("POST", "h", fmt.Sprint("/", s.requestCount), nil)
+	return &request{fingerprint: quarantine.FingerprintOf("", d), deadly: deadly}
 }
 
-// arrive has the next proper request come.
-func (l *lab) arrive() {
-	l.after(l.mean(time.Duration(float64(time.Second)/l.cfg.Rate)), func() {
-		l.result.Proper++
-		l.try(l.request(-1))
-		l.arrive()
+// arrive schedules the next harmless request.
+func (s *simulation) arrive() {
+	s.after(s.exponential(time.Duration(float64(time.Second)/s.cfg.Rate)), func() {
+		s.result.Proper++
+		s.try(s.newRequest(-1))
+		s.arrive()
 	})
 }
 
-// repeat has a deadly request come until the end of its series, and twice long after.
-func (l *lab) repeat(r *request, until time.Duration) {
+// repeat sends a crashing request and schedules its next arrival until the end of its series.
+func (s *simulation) repeat(r *request, until time.Duration) {
 	r.tries, r.avoid = 0, nil
-	l.try(r)
-	if next := l.mean(l.cfg.Repeat); l.now+next < until {
-		l.after(next, func() { l.repeat(r, until) })
+	s.try(r)
+	if next := s.exponential(s.cfg.RepeatInterval); s.now+next < until {
+		s.after(next, func() { s.repeat(r, until) })
 	}
 }
 
-// try sends a caller's try to a node.
-func (l *lab) try(r *request) {
+// try sends one try of a request to a random node.
+func (s *simulation) try(r *request) {
 	r.tries++
-	n := l.nodes[l.rnd.IntN(len(l.nodes))]
-	l.attempt(r, n, 1)
+	n := s.nodes[s.rnd.IntN(len(s.nodes))]
+	s.attempt(r, n, 1)
 }
 
-// attempt is one attempt of a node, once it goes on if it stands still.
-func (l *lab) attempt(r *request, n *node, k int) {
-	if n.frozenUntil > l.now {
-		l.after(n.frozenUntil-l.now, func() { l.attempt(r, n, k) })
+// attempt handles attempt k of a try at a node, after the node resumes if it is paused. The node
+// waits while crashes that concern the request have yet to settle, and refuses the request if it is
+// quarantined.
+func (s *simulation) attempt(r *request, n *node, k int) {
+	if n.pausedUntil > s.now {
+		s.after(n.pausedUntil-s.now, func() { s.attempt(r, n, k) })
 		return
 	}
-	if l.cfg.Off {
-		l.send(r, n, k)
+	if s.cfg.Disabled {
+		s.send(r, n, k)
 		return
 	}
-	if wait := n.registry.Unsettled(r.f, l.time()); wait > 0 {
-		l.after(wait, func() { l.attempt(r, n, k) })
+	if wait := n.registry.Unsettled(r.fingerprint, s.time()); wait > 0 {
+		s.after(wait, func() { s.attempt(r, n, k) })
 		return
 	}
-	l.judge(n)
-	if _, held := n.registry.Held(r.f, l.time()); held {
+	s.decide(n)
+	if _, held := n.registry.Held(r.fingerprint, s.time()); held {
 		if r.deadly < 0 {
-			l.result.Bystanders++
+			s.result.Bystanders++
 		}
 		return
 	}
-	l.send(r, n, k)
+	s.send(r, n, k)
 }
 
-// send sends a request to the engine that suits it best.
-func (l *lab) send(r *request, n *node, k int) {
-	state := n.registry.State(r.f)
+// send sends a request to the engine that the node chooses for it.
+func (s *simulation) send(r *request, n *node, k int) {
+	state := n.registry.State(r.fingerprint)
 	suspect := state == quarantine.Suspected || state == quarantine.Isolated
-	e := l.choose(r, n, suspect)
+	e := s.choose(r, n, suspect)
 	if e == nil {
-		l.fail(r)
+		s.fail(r)
 		return
 	}
-	if r.deadly >= 0 && l.thirdAt[r.deadly] > 0 && l.now > l.thirdAt[r.deadly]+l.cfg.Contact && l.now-n.wellSince >= l.cfg.Contact {
-		l.result.Late[r.deadly]++
+	if r.deadly >= 0 && s.thirdCrashAt[r.deadly] > 0 && s.now > s.thirdCrashAt[r.deadly]+s.cfg.ContactTime && s.now-n.healthySince >= s.cfg.ContactTime {
+		s.result.Late[r.deadly]++
 	}
 	u := &run{r: r, n: n, e: e, attempt: k, suspect: suspect}
-	u.tracked = n.tracker.Send(r.f, quarantine.Life{Engine: e.name(), Start: int64(e.life + 1)}, l.time())
+	u.tracked = n.tracker.Send(r.fingerprint, quarantine.Life{Engine: e.name(), Start: int64(e.incarnation + 1)}, s.time())
 	e.runs[u] = true
 	if suspect {
-		n.suspects[e]++
+		n.suspectRuns[e]++
 	}
-	l.after(sendTime+l.mean(queueTime), func() { l.begin(u) })
+	s.after(requestLatency+s.exponential(queueTime), func() { s.begin(u) })
 }
 
-// choose is the engine with the least work; suspects go apart from each other.
-func (l *lab) choose(r *request, n *node, suspect bool) *engine {
+// choose returns the running engine with the least work, nil if there is none. Engines on which the
+// request broke before come last, and suspected requests are kept apart from each other.
+func (s *simulation) choose(r *request, n *node, suspect bool) *engine {
 	var best *engine
 	bestScore := 0
-	for _, e := range l.engines {
+	for _, e := range s.engines {
 		if !e.up {
 			continue
 		}
@@ -278,9 +293,9 @@
 			score += 1 << 20
 		}
 		if suspect {
-			score += n.suspects[e]<<12 + int(r.f[e.index%len(r.f)]%4)
+			score += n.suspectRuns[e]<<12 + int(r.fingerprint[e.index%len(r.fingerprint)]%4)
 		} else {
-			score += 4 * n.suspects[e]
+			score += 4 * n.suspectRuns[e]
 		}
 		if best == nil || score < bestScore {
 			best, bestScore = e, score
@@ -289,141 +304,145 @@
 	return best
 }
 
-// begin has an engine begin a run.
-func (l *lab) begin(u *run) {
+// begin starts a run at its engine and schedules its answer or the crash.
+func (s *simulation) begin(u *run) {
 	if !u.e.runs[u] {
 		return
 	}
-	u.n.tracker.Begin(u.tracked, l.time())
+	u.n.tracker.Begin(u.tracked, s.time())
 	if u.r.deadly >= 0 {
-		l.after(l.about(l.cfg.Crash/2), func() {
+		s.after(s.between(s.cfg.CrashDelay/2), func() {
 			if u.e.runs[u] {
-				l.endUnder(u)
+				s.crashUnder(u)
 			}
 		})
 		return
 	}
-	l.after(l.mean(l.cfg.Run), func() {
+	s.after(s.exponential(s.cfg.MeanRun), func() {
 		if u.e.runs[u] {
-			l.answer(u)
+			s.complete(u)
 		}
 	})
 }
 
-// answer ends a run well.
-func (l *lab) answer(u *run) {
+// complete ends a run with an answer.
+func (s *simulation) complete(u *run) {
 	delete(u.e.runs, u)
-	l.leave(u)
-	u.n.tracker.Answer(u.tracked, true, l.time())
-	if !l.cfg.Off && u.n.registry.Answered(u.r.f, l.time()) {
-		l.report(u.n)
+	s.releaseSuspect(u)
+	u.n.tracker.Answer(u.tracked, true, s.time())
+	if !s.cfg.Disabled && u.n.registry.Answered(u.r.fingerprint, s.time()) {
+		s.report(u.n)
 	}
-	l.result.Served++
+	s.result.Served++
 }
 
-func (l *lab) leave(u *run) {
+// releaseSuspect removes a run from the count of suspected requests at its engine.
+func (s *simulation) releaseSuspect(u *run) {
 	if u.suspect {
-		u.n.suspects[u.e]--
+		u.n.suspectRuns[u.e]--
 	}
 }
 
-// endUnder ends an engine under a deadly request.
-func (l *lab) endUnder(u *run) {
+// crashUnder crashes an engine that runs a crashing request.
+func (s *simulation) crashUnder(u *run) {
 	d := u.r.deadly
-	l.result.Ends[d]++
-	if l.verdictAt[d] == 0 {
-		l.result.Before[d]++
+	s.result.Ends[d]++
+	if s.verdictAt[d] == 0 {
+		s.result.Before[d]++
 	}
-	if l.result.Ends[d] == 3 {
-		l.thirdAt[d] = l.now
+	if s.result.Ends[d] == 3 {
+		s.thirdCrashAt[d] = s.now
 	}
-	l.end(u.e)
+	s.crash(u.e)
 }
 
-// crashOutside ends the engines of a rack.
-func (l *lab) crashOutside() {
-	for range l.cfg.Rack {
-		if e := l.engines[l.rnd.IntN(len(l.engines))]; e.up {
-			l.result.Outside++
-			l.end(e)
+// crashUnrelated crashes a group of random engines for another reason.
+func (s *simulation) crashUnrelated() {
+	for range s.cfg.CrashGroup {
+		if e := s.engines[s.rnd.IntN(len(s.engines))]; e.up {
+			s.result.Outside++
+			s.crash(e)
 		}
 	}
 }
 
-// end ends an engine with all that it runs, and starts it again.
-func (l *lab) end(e *engine) {
+// crash ends an engine with all its runs and schedules its restart.
+func (s *simulation) crash(e *engine) {
 	e.up = false
 	runs := make([]*run, 0, len(e.runs))
 	for u := range e.runs {
 		runs = append(runs, u)
 	}
-	slices.SortFunc(runs, func(a, b *run) int { return slices.Compare(a.r.f[:], b.r.f[:]) })
+	slices.SortFunc(runs, func(a, b *run) int { return slices.Compare(a.r.fingerprint[:], b.r.fingerprint[:]) })
 	e.runs = make(map[*run]bool)
-	life := quarantine.Life{Engine: e.name(), Start: int64(e.life + 1)}
+	incarnation := quarantine.Life{Engine: e.name(), Start: int64(e.incarnation + 1)}
 	for _, u := range runs {
-		l.leave(u)
-		l.after(l.about(noticeTime), func() { l.broke(u, life) })
+		s.releaseSuspect(u)
+		s.after(s.between(detectionTime), func() { s.connectionBroken(u, incarnation) })
 	}
-	e.life++
-	l.after(l.cfg.Back, func() { e.up = true })
+	e.incarnation++
+	s.after(s.cfg.RestartTime, func() { e.up = true })
 }
 
-// broke has a node notice that a connection broke, and that the engine has ended.
-func (l *lab) broke(u *run, life quarantine.Life) {
-	if u.n.frozenUntil > l.now {
-		l.after(u.n.frozenUntil-l.now, func() { l.broke(u, life) })
+// connectionBroken is called when a node notices that its connection for a run broke because the
+// engine crashed. The node records the suspicion and makes the next attempt, if one is left.
+func (s *simulation) connectionBroken(u *run, incarnation quarantine.Life) {
+	if u.n.pausedUntil > s.now {
+		s.after(u.n.pausedUntil-s.now, func() { s.connectionBroken(u, incarnation) })
 		return
 	}
-	if !l.cfg.Off {
-		l.blame(u, life)
+	if !s.cfg.Disabled {
+		s.suspect(u, incarnation)
 	}
-	if u.attempt < l.cfg.Attempts {
+	if u.attempt < s.cfg.Attempts {
 		u.r.avoid = append(u.r.avoid, u.e)
-		l.attempt(u.r, u.n, u.attempt+1)
+		s.attempt(u.r, u.n, u.attempt+1)
 		return
 	}
-	l.fail(u.r)
+	s.fail(u.r)
 }
 
-func (l *lab) blame(u *run, life quarantine.Life) {
-	n, now := u.n, l.time()
+// suspect records suspicions of a crash in the node's registry: of the request whose connection broke
+// if the crash is known to the tracker, otherwise of all requests that ran at the engine.
+func (s *simulation) suspect(u *run, incarnation quarantine.Life) {
+	n, now := u.n, s.time()
 	if b, known := n.tracker.Break(u.tracked, now); known {
-		n.registry.Blame([]quarantine.Fingerprint{u.r.f}, []quarantine.Blame{b}, now)
-	} else if id, fs, bs := n.tracker.End(life, now); len(fs) > 0 {
+		n.registry.Blame([]quarantine.Fingerprint{u.r.fingerprint}, []quarantine.Blame{b}, now)
+	} else if id, fs, bs := n.tracker.End(incarnation, now); len(fs) > 0 {
 		n.registry.Ended(id, now)
 		n.registry.Blame(fs, bs, now)
 	}
-	l.settle(n)
-	l.report(n)
+	s.scheduleDecision(n)
+	s.report(n)
 }
 
-// settle has a node judge once the latest ends have settled.
-func (l *lab) settle(n *node) {
+// scheduleDecision has a node decide once its latest crashes have settled.
+func (s *simulation) scheduleDecision(n *node) {
 	if n.registry.Pending() {
-		l.after(quarantine.Settle, func() { l.judge(n) })
+		s.after(quarantine.Settle, func() { s.decide(n) })
 	}
 }
 
-// judge has a node judge what has settled.
-func (l *lab) judge(n *node) {
-	if len(n.registry.Judge(l.time())) > 0 {
-		l.told(n)
+// decide has a node's registry reach verdicts on the crashes that have settled.
+func (s *simulation) decide(n *node) {
+	if len(n.registry.Judge(s.time())) > 0 {
+		s.publish(n)
 	}
 }
 
-// fail ends a try; the caller tries once more.
-func (l *lab) fail(r *request) {
+// fail ends a try; after the first one the caller tries again.
+func (s *simulation) fail(r *request) {
 	if r.tries < 2 {
-		l.after(l.mean(callerPause), func() { l.try(r) })
+		s.after(s.exponential(callerBackoff), func() { s.try(r) })
 	}
 }
 
-// size counts a message and its length.
-func (l *lab) size(entries []quarantine.Entry) {
-	raw, err := json.Marshal(peer.Suspects(entries, l.time()))
+// countMessage adds a message and its encoded size to the figures.
+func (s *simulation) countMessage(entries []quarantine.Entry) {
+	raw, err := json.Marshal(peer.Suspects(entries, s.time()))
 	if err != nil {
 		panic(err)
 	}
-	l.result.Messages++
-	l.result.Bytes += len(raw)
+	s.result.Messages++
+	s.result.Bytes += len(raw)
 }
