--- a/internal/quotalab/compare.go
+++ b/internal/quotalab/compare.go
@@ -9,49 +9,50 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Named is a result of a load with a name.
+// Named is a result with the name of its traffic pattern.
 type Named struct {
 	Name string
 	Result
 }
 
-// Sizes are the numbers of nodes that loads are played with.
-var Sizes = []int{7, 71, 300}
+// NodeCounts are the numbers of nodes with which Compare runs each pattern.
+var NodeCounts = []int{7, 71, 300}
 
-// pattern is a load beside some trouble.
+// pattern is a traffic pattern; disturb adds its hot customer and faults to a load.
 type pattern struct {
 	name    string
 	disturb func(l *Load)
 }
 
-// Patterns of the shifted deployment's days.
+// patterns are the traffic patterns that Compare runs.
 var patterns = []pattern{
 	{"quiet", func(*Load) {}},
-	{"hot customer", hot},
+	{"hot customer", addHotCustomer},
 	{"hot, granter lost 3.5 s", func(l *Load) {
-		hot(l)
+		addHotCustomer(l)
 		l.LostFrom, l.LostFor = 15*time.Second, 3500*time.Millisecond
 	}},
 	{"hot, a third cut off 9 s", func(l *Load) {
-		hot(l)
+		addHotCustomer(l)
 		l.CutShare, l.CutFrom, l.CutFor = 0.33, 12*time.Second, 9*time.Second
 	}},
 }
 
-func hot(l *Load) { l.Hot, l.HotFrom = 7.5, 5*time.Second }
+// addHotCustomer lets the largest customer send 7.5 times its usual traffic from the fifth second on.
+func addHotCustomer(l *Load) { l.Hot, l.HotFrom = 7.5, 5*time.Second }
 
-// Compare plays all patterns with all designs and sizes, each with some seeds, and keeps the
-// worst of each figure.
+// Compare simulates every pattern with every design and number of nodes, each with the given number
+// of seeds, and returns the worst value of each figure over the seeds.
 func Compare(seeds int, lasts time.Duration) []Named {
 	var out []Named
 	for _, p := range patterns {
-		for _, nodes := range Sizes {
+		for _, nodes := range NodeCounts {
 			for _, d := range Designs {
 				worst := Named{Name: p.name}
 				for seed := range seeds {
 					l := Load{Nodes: nodes, Customers: 16, Tokens: 418000, For: lasts, Seed: uint64(seed) + 1}
 					p.disturb(&l)
-					worst.take(Play(d, l))
+					worst.keepWorst(Simulate(d, l))
 				}
 				out = append(out, worst)
 			}
@@ -60,15 +61,15 @@
 	return out
 }
 
-// take keeps the worse of each figure.
-func (n *Named) take(r Result) {
+// keepWorst replaces each figure by that of r if it is worse.
+func (n *Named) keepWorst(r Result) {
 	n.Design, n.Load = r.Design, r.Load
 	n.Worst, n.Over = max(n.Worst, r.Worst), max(n.Over, r.Over)
 	n.Refused, n.Questions = max(n.Refused, r.Refused), max(n.Questions, r.Questions)
 }
 
-// Plot draws what is refused beneath the limit against the number of nodes, for the load
-// whose granter is lost, into base.svg and base.png.
+// Plot plots the share of tokens refused within the limit against the number of nodes, for the
+// pattern in which the granter is lost, into base.svg and base.png.
 func Plot(results []Named, base string) error {
 	p := plot.New()
 	p.Title.Text = "Refused beneath the limit: one hot customer, granter lost for 3.5 s"
--- a/internal/quotalab/doc.go
+++ b/internal/quotalab/doc.go
@@ -1,11 +1,12 @@
-// Package quotalab plays loads of customers against the product's own decisions on
-// limits (core/quota) in virtual time, and counts what passes and what is refused: the
-// same seed gives the same figures.
+// Package quotalab simulates customers' traffic against limits that are kept over many nodes, in
+// virtual time. It measures how far customers exceed their limits and how much traffic within the
+// limits is refused, for several designs. The same seed gives the same figures. Its callers are the
+// quota command of olivebench and the tests.
 //
-// The problem: whether a limit holds over all nodes, and whether what is beneath it is
-// let through, shows over many customers and nodes, beside a granter that is lost and
-// nodes that are cut off from it. The model: arrivals of each customer, spread over the
-// nodes at random; questions and reports that reach the granter, or do not; the same
-// [quota.Granter] and [quota.Purse] as in a running node. Answers come at once; a
-// question without an answer takes as long as a node waits for it.
+// The simulation uses the same [quota.Granter] and [quota.Purse] as a running node: the granter
+// holds the limits' budgets, and each node's purse caches grants and falls back to the node's own
+// share while the granter does not answer. Arrivals of each customer are spread over the nodes at
+// random. Grant requests and reports reach the granter, or do not while it is lost or the node is
+// partitioned from it. Answers arrive at once; a request without an answer takes as long as a node
+// waits for one.
 package quotalab
--- a/internal/quotalab/simulation.go
+++ b/internal/quotalab/simulation.go
@@ -10,296 +10,312 @@
 	"olivetiller/core/quota"
 )
 
-// Design is a way to keep limits over nodes.
+// Design is a way of keeping limits over several nodes.
 type Design string
 
-// The designs.
+// The designs that can be simulated.
 const (
-	// Parts is the product's: a granter, and each node's own part where it does not answer.
-	Parts Design = "parts"
-	// Shares gives each node its share for good; nobody is asked.
-	Shares Design = "shares"
-	// AskOnly has a granter, and refuses where it does not answer.
-	AskOnly Design = "askOnly"
+	// GranterOrShare is the product's design: nodes ask a granter, and use their own share of the
+	// limit while it does not answer.
+	GranterOrShare Design = "parts"
+	// FixedShares gives each node a fixed share of the limit; there is no granter.
+	FixedShares Design = "shares"
+	// GranterOnly lets nodes ask a granter, and refuses requests while it does not answer.
+	GranterOnly Design = "askOnly"
 )
 
-// Designs are all of them.
-var Designs = []Design{Parts, Shares, AskOnly}
+// Designs lists all designs.
+var Designs = []Design{GranterOrShare, FixedShares, GranterOnly}
 
-// Load is what is played.
+// Load describes the traffic and the faults of a run. Moments are times from the start of the run.
 type Load struct {
 	Nodes, Customers int
-	// Tokens is what all customers use together a second, without the hot one's excess.
+	// Tokens is what all customers use together, in tokens per second, without the excess of the
+	// hot one.
 	Tokens float64
-	// Hot is how many times its usual the hottest customer but HotRank sends from HotFrom on.
+	// Hot multiplies the traffic of one customer from HotFrom on; 0 for no hot customer. HotRank is
+	// that customer's rank by size, 0 for the largest.
 	Hot     float64
 	HotRank int
 	HotFrom time.Duration
-	For     time.Duration
-	// LostFrom and LostFor are when the granter is killed, and how long until another begins.
+	// For is the length of the run.
+	For time.Duration
+	// LostFrom is when the granter is killed, and LostFor how long it takes until a new one starts;
+	// 0 for no loss.
 	LostFrom, LostFor time.Duration
-	// CutShare of the nodes do not reach the granter from CutFrom on, for CutFor.
+	// CutShare is the share of the nodes that are partitioned from the granter from CutFrom on, for
+	// CutFor.
 	CutShare        float64
 	CutFrom, CutFor time.Duration
 	Seed            uint64
 }
 
-// Rule is what the platform asks of a limit.
+// Rule is the platform's requirement on limits: a customer may exceed its limit by the tolerance in
+// any window.
 type Rule struct {
 	quota.Tolerance
-	Window   time.Duration
-	LimitPer float64
+	// Window is the length of the window in which usage is counted.
+	Window time.Duration
+	// LimitFactor is the ratio of a customer's limit to its usual traffic.
+	LimitFactor float64
 }
 
-// Shifted is the rule of the deployment of 71 nodes; a limit is LimitPer times a
-// customer's usual.
-var Shifted = Rule{Tolerance: quota.Tolerance{Share: 0.1, Slack: 17000}, Window: 8 * time.Second, LimitPer: 1.8}
+// Shifted is the rule of the deployment of 71 nodes.
+var Shifted = Rule{Tolerance: quota.Tolerance{Share: 0.1, Slack: 17000}, Window: 8 * time.Second, LimitFactor: 1.8}
 
-// Sizes of requests, in tokens, and their frequency on that deployment.
-var sizes = []struct{ tokens, perSecond float64 }{{1114, 231}, {2392, 58}, {200, 111}}
+// requestSizes holds the sizes of requests in that deployment, in tokens, and how many of each
+// arrive per second.
+var requestSizes = []struct{ tokens, perSecond float64 }{{1114, 231}, {2392, 58}, {200, 111}}
 
 const (
-	// leastRate is the least limit, in tokens a second.
-	leastRate = 4200
-	// noAnswer is how long a question without an answer takes, reportEvery and probeEvery the
-	// pauses of a node in touch and of one that is alone.
-	noAnswer    = 250 * time.Millisecond
-	reportEvery = 770 * time.Millisecond
-	probeEvery  = 200 * time.Millisecond
-	step        = 10 * time.Millisecond
-	// settled is from when refusals count: traffic begins after the nodes.
-	settled = 2 * time.Second
+	// minRate is the lowest limit, in tokens per second.
+	minRate = 4200
+	// grantTimeout is how long a node waits for the answer to a grant request. reportEvery and
+	// probeEvery are the intervals at which a node contacts the granter while it is attached and
+	// while it is partitioned.
+	grantTimeout = 250 * time.Millisecond
+	reportEvery  = 770 * time.Millisecond
+	probeEvery   = 200 * time.Millisecond
+	// step is the time resolution of the simulation.
+	step = 10 * time.Millisecond
+	// warmUp is the time from which refusals count, since nodes need to reach the granter first.
+	warmUp = 2 * time.Second
 )
 
-// Result is what came of a load.
+// Result holds the figures of a run.
 type Result struct {
 	Design Design
 	Load   Load
-	// Worst is the most that any customer had in a window, in parts of what the rule
-	// allows: above 1 the rule is broken. Over counts such customers.
+	// Worst is the most that any customer used in a window, as a ratio to what the rule allows:
+	// above 1 the rule is broken. Over counts the customers that broke it.
 	Worst float64
 	Over  int
-	// Refused is the share of tokens of all but the hot customer that were refused although
-	// one exact bucket for all nodes would have let them pass, from 0 to 1.
+	// Refused is the share of tokens, from 0 to 1, that were refused although a single exact token
+	// bucket for all nodes would have admitted them; the hot customer is left out.
 	Refused float64
-	// Questions is how many questions a second all nodes sent together.
+	// Questions is the number of grant requests per second from all nodes.
 	Questions float64
 }
 
-// spent is one request that passed.
-type spent struct {
+// passedRequest is an admitted request.
+type passedRequest struct {
 	at     time.Time
 	tokens float64
 }
 
-// sender is one customer in the lab.
-type sender struct {
-	name   string
+// customerState is one customer in the simulation.
+type customerState struct {
+	name string
+	// usual is the usual traffic, in tokens per second.
 	usual  float64
 	limit  customer.Limit
-	passed []spent
-	// room is what one bucket for all nodes would hold as of roomAt, charged with what passed.
-	room   float64
-	roomAt time.Time
+	passed []passedRequest
+	// level is the content that a single token bucket for all nodes would have at levelAt, charged
+	// with the admitted requests.
+	level   float64
+	levelAt time.Time
 }
 
-// lab is one play.
-type lab struct {
-	design  Design
-	load    Load
-	r       *rand.Rand
-	start   time.Time
-	granter *quota.Granter
-	purses  []*quota.Purse
-	probed  []time.Time
-	senders []*sender
-	// shares are the nodes' own buckets where each has its share for good.
-	shares    map[int]*quota.Granter
-	questions int
-	asked     float64
-	refused   float64
+// simulation is the state of one run.
+type simulation struct {
+	design     Design
+	load       Load
+	rnd        *rand.Rand
+	start      time.Time
+	granter    *quota.Granter
+	allowances []*quota.Purse
+	// reportedAt is when each node last tried to contact the granter.
+	reportedAt []time.Time
+	customers  []*customerState
+	// fixedShares holds each node's own bucket in the design FixedShares.
+	fixedShares   map[int]*quota.Granter
+	grantRequests int
+	// offeredTokens and refusedTokens count the tokens within the limits, as for Result.Refused.
+	offeredTokens float64
+	refusedTokens float64
 }
 
-// Play plays a load with a design.
-func Play(d Design, l Load) Result {
-	p := &lab{design: d, load: l, r: rand.New(rand.NewPCG(l.Seed, 1)), start: time.Unix(1000, 0), probed: make([]time.Time, l.Nodes)}
-	p.granter = quota.NewGranter(Shifted.Tolerance, l.Nodes, p.start)
+// Simulate runs a load with a design and returns its figures.
+func Simulate(d Design, l Load) Result {
+	sim := &simulation{design: d, load: l, rnd: rand.New(rand.NewPCG(l.Seed, 1)), start: time.Unix(1000, 0), reportedAt: make([]time.Time, l.Nodes)}
+	sim.granter = quota.NewGranter(Shifted.Tolerance, l.Nodes, sim.start)
 	for i := range l.Nodes {
-		p.purses = append(p.purses, quota.NewPurse(strconv.Itoa(i), Shifted.Tolerance))
+		sim.allowances = append(sim.allowances, quota.NewPurse(strconv.Itoa(i), Shifted.Tolerance))
 	}
-	p.addSenders()
+	sim.addCustomers()
 	for d := time.Duration(0); d < l.For; d += step {
-		p.keepUp(p.start.Add(d))
-		p.arrive(p.start.Add(d))
+		sim.maintain(sim.start.Add(d))
+		sim.arrive(sim.start.Add(d))
 	}
-	return p.result()
+	return sim.result()
 }
 
-// addSenders makes customers whose sizes follow a power law.
-func (p *lab) addSenders() {
+// addCustomers creates customers whose usual traffic follows a power law.
+func (sim *simulation) addCustomers() {
 	sum := 0.0
-	for i := range p.load.Customers {
+	for i := range sim.load.Customers {
 		sum += 1 / float64(i+1)
 	}
-	for i := range p.load.Customers {
-		usual := p.load.Tokens / float64(i+1) / sum
-		rate := max(leastRate, Shifted.LimitPer*usual)
-		p.senders = append(p.senders, &sender{
-			name: "c" + strconv.Itoa(i), usual: usual, limit: customer.Limit{Rate: rate, Burst: rate, Unit: customer.Tokens}, roomAt: p.start,
+	for i := range sim.load.Customers {
+		usual := sim.load.Tokens / float64(i+1) / sum
+		rate := max(minRate, Shifted.LimitFactor*usual)
+		sim.customers = append(sim.customers, &customerState{
+			name: "c" + strconv.Itoa(i), usual: usual, limit: customer.Limit{Rate: rate, Burst: rate, Unit: customer.Tokens}, levelAt: sim.start,
 		})
 	}
 }
 
-// reached reports whether a node reaches a granter at a moment.
-func (p *lab) reached(node int, now time.Time) bool {
-	d, l := now.Sub(p.start), &p.load
+// granterReachable reports whether a node can reach a granter at a moment.
+func (sim *simulation) granterReachable(node int, now time.Time) bool {
+	d, l := now.Sub(sim.start), &sim.load
 	lost := l.LostFor > 0 && d >= l.LostFrom && d < l.LostFrom+l.LostFor
 	cut := float64(node) < l.CutShare*float64(l.Nodes) && d >= l.CutFrom && d < l.CutFrom+l.CutFor
 	return !lost && !cut
 }
 
-// keepUp sends the nodes' reports and probes, and begins a new granter.
-func (p *lab) keepUp(now time.Time) {
-	d, l := now.Sub(p.start), &p.load
+// maintain sends the reports and probes of the nodes that are due, and starts a new granter after a
+// loss.
+func (sim *simulation) maintain(now time.Time) {
+	d, l := now.Sub(sim.start), &sim.load
 	if l.LostFor > 0 && d <= l.LostFrom+l.LostFor && d+step > l.LostFrom+l.LostFor {
-		p.granter = quota.NewGranter(Shifted.Tolerance, l.Nodes, now)
+		sim.granter = quota.NewGranter(Shifted.Tolerance, l.Nodes, now)
 	}
-	if p.design == Shares {
+	if sim.design == FixedShares {
 		return
 	}
-	for i, purse := range p.purses {
+	for i, allowance := range sim.allowances {
 		every := reportEvery
-		if purse.Alone() || purse.Members() == 0 {
+		if allowance.Alone() || allowance.Members() == 0 {
 			every = probeEvery
 		}
-		if now.Sub(p.probed[i]) < every {
+		if now.Sub(sim.reportedAt[i]) < every {
 			continue
 		}
-		p.probed[i] = now
-		if p.reached(i, now) {
-			p.granter.Heard(strconv.Itoa(i), false, now)
-			purse.Heard(now, p.granter.Members(now))
+		sim.reportedAt[i] = now
+		if sim.granterReachable(i, now) {
+			sim.granter.Heard(strconv.Itoa(i), false, now)
+			allowance.Heard(now, sim.granter.Members(now))
 		}
 	}
 }
 
 // arrive sends the requests of one step.
-func (p *lab) arrive(now time.Time) {
+func (sim *simulation) arrive(now time.Time) {
 	mean := 0.0
 	total := 0.0
-	for _, s := range sizes {
+	for _, s := range requestSizes {
 		mean += s.tokens * s.perSecond
 		total += s.perSecond
 	}
 	mean /= total
-	for i, t := range p.senders {
-		rate := t.usual / mean
-		if i == p.load.HotRank && p.load.Hot > 0 && now.Sub(p.start) >= p.load.HotFrom {
-			rate *= p.load.Hot
+	for i, c := range sim.customers {
+		rate := c.usual / mean
+		if i == sim.load.HotRank && sim.load.Hot > 0 && now.Sub(sim.start) >= sim.load.HotFrom {
+			rate *= sim.load.Hot
 		}
-		for n := p.poisson(rate * step.Seconds()); n > 0; n-- {
-			p.request(t, i, p.size(total), now)
+		for n := sim.poisson(rate * step.Seconds()); n > 0; n-- {
+			sim.request(c, i, sim.size(total), now)
 		}
 	}
 }
 
-// poisson draws how many requests come.
-func (p *lab) poisson(mean float64) int {
+// poisson draws a number of requests from a Poisson distribution.
+func (sim *simulation) poisson(mean float64) int {
 	n := 0
-	for left := mean - p.r.ExpFloat64(); left > 0; left -= p.r.ExpFloat64() {
+	for left := mean - sim.rnd.ExpFloat64(); left > 0; left -= sim.rnd.ExpFloat64() {
 		n++
 	}
 	return n
 }
 
-// size draws a request's tokens.
-func (p *lab) size(total float64) float64 {
-	x := p.r.Float64() * total
-	for _, s := range sizes {
+// size draws the size of a request, in tokens; total is the sum of the rates of all sizes.
+func (sim *simulation) size(total float64) float64 {
+	x := sim.rnd.Float64() * total
+	for _, s := range requestSizes {
 		if x -= s.perSecond; x < 0 {
 			return s.tokens
 		}
 	}
-	return sizes[0].tokens
+	return requestSizes[0].tokens
 }
 
-// request has one request come at a node drawn at random.
-func (p *lab) request(t *sender, rank int, need float64, now time.Time) {
-	node := p.r.IntN(p.load.Nodes)
-	passes, at := p.charge(node, t, need, now)
-	beneath := t.beneath(need, now) && now.Sub(p.start) >= settled && (p.load.Hot == 0 || rank != p.load.HotRank)
-	if beneath {
-		p.asked += need
+// request sends a request of need tokens to a random node and records whether it is admitted.
+func (sim *simulation) request(c *customerState, rank int, need float64, now time.Time) {
+	node := sim.rnd.IntN(sim.load.Nodes)
+	admitted, at := sim.charge(node, c, need, now)
+	within := c.withinLimit(need, now) && now.Sub(sim.start) >= warmUp && (sim.load.Hot == 0 || rank != sim.load.HotRank)
+	if within {
+		sim.offeredTokens += need
 	}
-	if beneath && !passes {
-		p.refused += need
+	if within && !admitted {
+		sim.refusedTokens += need
 	}
-	if passes {
-		t.room -= need
-		t.passed = append(t.passed, spent{at, need})
+	if admitted {
+		c.level -= need
+		c.passed = append(c.passed, passedRequest{at, need})
 	}
 }
 
-// beneath reports whether one exact bucket has room for a request.
-func (t *sender) beneath(need float64, now time.Time) bool {
-	t.room = min(t.limit.Burst, t.room+t.limit.Rate*now.Sub(t.roomAt).Seconds())
-	t.roomAt = now
-	return t.room >= need
+// withinLimit reports whether a single exact token bucket for all nodes would admit the request.
+func (c *customerState) withinLimit(need float64, now time.Time) bool {
+	c.level = min(c.limit.Burst, c.level+c.limit.Rate*now.Sub(c.levelAt).Seconds())
+	c.levelAt = now
+	return c.level >= need
 }
 
-// charge asks the design whether a request passes, and when.
-func (p *lab) charge(node int, t *sender, need float64, now time.Time) (passes bool, at time.Time) {
-	purse := p.purses[node]
-	if p.design == Shares {
-		return p.share(node, t, need, now), now
+// charge reports whether the design admits a request, and when the decision is made.
+func (sim *simulation) charge(node int, c *customerState, need float64, now time.Time) (admitted bool, at time.Time) {
+	allowance := sim.allowances[node]
+	if sim.design == FixedShares {
+		return sim.chargeFixedShare(node, c, need, now), now
 	}
-	d := purse.Take(t.name, t.limit, need, now)
+	d := allowance.Take(c.name, c.limit, need, now)
 	if d.Step != quota.AskFor {
 		return d.Step == quota.Pass, now
 	}
-	p.questions++
-	if !p.reached(node, now) {
-		if p.design == Parts {
-			purse.Lost(now, now.Add(noAnswer))
-			return purse.Take(t.name, t.limit, need, now.Add(noAnswer)).Step == quota.Pass, now.Add(noAnswer)
+	sim.grantRequests++
+	if !sim.granterReachable(node, now) {
+		if sim.design == GranterOrShare {
+			allowance.Lost(now, now.Add(grantTimeout))
+			return allowance.Take(c.name, c.limit, need, now.Add(grantTimeout)).Step == quota.Pass, now.Add(grantTimeout)
 		}
 		return false, now
 	}
-	p.granter.Heard(strconv.Itoa(node), false, now)
-	a := p.granter.Ask(t.name, t.limit, need, d.Ahead, now)
+	sim.granter.Heard(strconv.Itoa(node), false, now)
+	a := sim.granter.Ask(c.name, c.limit, need, d.Ahead, now)
 	if a.Granted < need {
-		purse.Refused(t.name, need, a.After, now)
+		allowance.Refused(c.name, need, a.After, now)
 		return false, now
 	}
-	purse.Granted(t.name, a.Granted, need, now)
+	allowance.Granted(c.name, a.Granted, need, now)
 	return true, now
 }
 
-// share charges a node's own bucket, whose burst is a whole request at least.
-func (p *lab) share(node int, t *sender, need float64, now time.Time) bool {
-	n := float64(p.load.Nodes)
-	l := customer.Limit{Rate: t.limit.Rate / n, Burst: max(need, t.limit.Burst/n)}
-	if p.shares == nil {
-		p.shares = make(map[int]*quota.Granter)
+// chargeFixedShare charges the node's own bucket, whose burst is at least one whole request.
+func (sim *simulation) chargeFixedShare(node int, c *customerState, need float64, now time.Time) bool {
+	n := float64(sim.load.Nodes)
+	l := customer.Limit{Rate: c.limit.Rate / n, Burst: max(need, c.limit.Burst/n)}
+	if sim.fixedShares == nil {
+		sim.fixedShares = make(map[int]*quota.Granter)
 	}
-	g := p.shares[node]
+	g := sim.fixedShares[node]
 	if g == nil {
-		g = quota.NewGranter(quota.Tolerance{}, 0, p.start)
-		p.shares[node] = g
+		g = quota.NewGranter(quota.Tolerance{}, 0, sim.start)
+		sim.fixedShares[node] = g
 	}
 	g.Heard("itself", false, now)
-	return g.Ask(t.name, l, need, 0, now).Granted > 0
+	return g.Ask(c.name, l, need, 0, now).Granted > 0
 }
 
-// result counts what passed in each window.
-func (p *lab) result() Result {
-	r := Result{Design: p.design, Load: p.load, Questions: float64(p.questions) / p.load.For.Seconds()}
-	if p.asked > 0 {
-		r.Refused = p.refused / p.asked
+// result returns the figures, from the tokens admitted in each window.
+func (sim *simulation) result() Result {
+	r := Result{Design: sim.design, Load: sim.load, Questions: float64(sim.grantRequests) / sim.load.For.Seconds()}
+	if sim.offeredTokens > 0 {
+		r.Refused = sim.refusedTokens / sim.offeredTokens
 	}
-	for _, t := range p.senders {
-		allowed := (t.limit.Rate*Shifted.Window.Seconds()+t.limit.Burst)*(1+Shifted.Share) + Shifted.Slack
-		x := mostIn(t.passed, Shifted.Window) / allowed
+	for _, c := range sim.customers {
+		allowed := (c.limit.Rate*Shifted.Window.Seconds()+c.limit.Burst)*(1+Shifted.Share) + Shifted.Slack
+		x := maxInWindow(c.passed, Shifted.Window) / allowed
 		r.Worst = max(r.Worst, x)
 		if x > 1 {
 			r.Over++
@@ -308,9 +324,9 @@
 	return r
 }
 
-// mostIn returns the most that was spent in any window.
-func mostIn(passed []spent, window time.Duration) float64 {
-	slices.SortFunc(passed, func(a, b spent) int { return a.at.Compare(b.at) })
+// maxInWindow returns the most tokens admitted in any window. It sorts its argument.
+func maxInWindow(passed []passedRequest, window time.Duration) float64 {
+	slices.SortFunc(passed, func(a, b passedRequest) int { return a.at.Compare(b.at) })
 	most, sum, first := 0.0, 0.0, 0
 	for _, s := range passed {
 		sum += s.tokens
--- a/internal/quotalab/simulation_test.go
+++ b/internal/quotalab/simulation_test.go
@@ -7,15 +7,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// shifted is the load of the deployment of 71 nodes.
+// shifted returns the load of the deployment of 71 nodes.
 func shifted(seed uint64) Load {
 	return Load{Nodes: 71, Customers: 16, Tokens: 418000, For: 34 * time.Second, Seed: seed}
 }
 
-// TestLimitsHold replays the loads under which a limit is broken or what is beneath it is
-// refused: one customer at 7.5 times its usual beside a granter that is killed, and beside a
-// third of the nodes that are cut off from it. The rule is the platform's; 1 in 1,000 and 1
-// in 100 are the aims for tokens refused beneath the limit without trouble and with a cut.
+// TestLimitsHold guards against customers that exceed their limits and against refusals within the
+// limits. Both occur when one customer sends 7.5 times its usual traffic while the granter is
+// killed or a third of the nodes is partitioned from it. The rule is the platform's; the aims for
+// tokens refused within the limits are 1 in 1,000 without faults and 1 in 100 with a partition.
 func TestLimitsHold(t *testing.T) {
 	quiet := shifted(1)
 	hot := shifted(2)
@@ -35,7 +35,7 @@
 	tests := []struct {
 		name string
 		load Load
-		// most is the greatest share refused beneath the limit.
+		// most is the greatest share that may be refused within the limits.
 		most float64
 	}{
 		{"quiet", quiet, 0.001},
@@ -44,42 +44,43 @@
 		{"hot and a third cut off", cut, 1},
 		{"a small one hot and the granter lost", small, 1},
 		{"7 nodes", few, 1},
-		// The granter counted parts of nodes cut off from it for too long beside what they
-		// spent by themselves: 1.02 of what is allowed.
+		// Guards against usage of 1.02 times what is allowed: the granter counted the shares of
+		// partitioned nodes for too long, beside what these nodes spent by themselves.
 		{"7 nodes, a third cut off", fewCut, 1},
 		{"300 nodes", many, 1},
 		{"1,000 customers", manyCustomers, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := Play(Parts, tt.load)
+			r := Simulate(GranterOrShare, tt.load)
 			if r.Over > 0 {
-				t.Errorf("%d customers broke their limits, the worst had %.2f of what is allowed", r.Over, r.Worst)
+				t.Errorf("%d customers exceeded their limits, the worst used %.2f times what is allowed", r.Over, r.Worst)
 			}
 			if r.Refused > tt.most {
-				t.Errorf("%.4f of tokens refused beneath the limit, %v at most", r.Refused, tt.most)
+				t.Errorf("%.4f of the tokens were refused within the limits, want %v at most", r.Refused, tt.most)
 			}
 			t.Logf("worst %.3f, refused %.4f, %.0f questions a second", r.Worst, r.Refused, r.Questions)
 		})
 	}
 }
 
-// TestSharesAlone shows that the lab finds what is wrong with a share for each node: it
-// refuses what is beneath the limit, or breaks the limit.
-func TestSharesAlone(t *testing.T) {
+// TestFixedSharesFail checks that the simulation detects the fault of fixed shares, which refuse
+// requests within the limit or let the limit be exceeded. It guards against checks that cannot
+// fail.
+func TestFixedSharesFail(t *testing.T) {
 	l := shifted(2)
 	l.Hot, l.HotFrom = 7.5, 5*time.Second
 	l.HotRank = 15
-	if r := Play(Shares, l); r.Refused < 0.001 && r.Over == 0 {
-		t.Errorf("shares refused %.4f and broke no limit", r.Refused)
+	if r := Simulate(FixedShares, l); r.Refused < 0.001 && r.Over == 0 {
+		t.Errorf("fixed shares refused %.4f and exceeded no limit, want a refused share of 0.001 at least or an exceeded limit", r.Refused)
 	}
 }
 
-// TestSameTwice checks that a seed gives the same figures again.
-func TestSameTwice(t *testing.T) {
+// TestSameSeed checks that a seed gives the same figures in every run.
+func TestSameSeed(t *testing.T) {
 	l := shifted(3)
 	l.For = 5 * time.Second
-	if diff := cmp.Diff(Play(Parts, l), Play(Parts, l)); diff != "" {
-		t.Errorf("second play (-first +second):\n%s", diff)
+	if diff := cmp.Diff(Simulate(GranterOrShare, l), Simulate(GranterOrShare, l)); diff != "" {
+		t.Errorf("second run (-first +second):\n%s", diff)
 	}
 }
