--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -1,11 +1,12 @@
-// Package forecast tells from the nodes' logs how good the forecasts of loads are, and
-// what they cost the callers.
+// Package forecast evaluates, from the logs of all nodes, how accurate the nodes' forecasts of load
+// times are and what wrong forecasts cost callers. Its caller is the forecast command of
+// olivebench.
 //
-// The problem: a request for a model that no engine holds is queued or refused by when
-// the model is expected; a wrong forecast refuses what would have been served, or lets
-// a caller wait for nothing. The model: [Read] takes the lines "answered" and "refused"
-// of all nodes, and holds each refusal against what any node served of the same pool
-// before the caller would have left.
+// A request for a model that no engine has loaded is queued or refused depending on when the model
+// is expected to be ready. A forecast that is too late refuses a request that could have been
+// served in time; one that is too early lets a caller wait in vain. [Read] reads the log lines
+// "answered" and "refused" of all nodes, and compares each refusal by forecast with the times at
+// which any node served a request of the same pool before the caller would have given up.
 package forecast
 
 import (
@@ -18,50 +19,55 @@
 	"time"
 )
 
-// fruitlessFrom is the wait from which a refusal counts as a wait that ended in nothing:
-// below, the caller has its answer at once.
-const fruitlessFrom = 100 * time.Millisecond
+// minUnansweredWait is the shortest wait that counts as a wait without an answer. A refusal that
+// comes sooner costs the caller no noticeable time.
+const minUnansweredWait = 100 * time.Millisecond
 
-// hopelessKind is the kind of a refusal by forecast.
-const hopelessKind = "cannotMakeDeadline"
+// deadlineKind is the kind logged for requests refused because the forecast says that they cannot
+// meet their deadline.
+const deadlineKind = "cannotMakeDeadline"
 
-// Report is what the logs tell.
+// Report holds the figures of the logs read.
 type Report struct {
-	// Requests counts the requests on routes, Cold those of them that found no replica
-	// ready and were answered.
+	// Requests counts the requests that matched a route; Cold counts those of them that found no
+	// replica ready and were answered.
 	Requests, Cold int
-	// Errors are by how much the first forecasts of answered waits were wrong, sorted.
+	// Errors holds the absolute errors of the first forecast of each answered cold request, sorted.
 	Errors []time.Duration
-	// Hopeless counts the refusals by forecast, and Needless those of them whose pool
-	// was served by some node before the caller would have left.
+	// Hopeless counts the requests refused by forecast. Needless counts those of them whose pool
+	// was served by some node before the caller would have given up.
 	Hopeless, Needless int
-	// Fruitless counts the waits that ended without an attempt, and Wasted is their time.
+	// Fruitless counts the requests that waited for at least minUnansweredWait and were refused
+	// without an attempt at an endpoint. Wasted is the sum of their times.
 	Fruitless int
 	Wasted    time.Duration
 }
 
-// line is what the logs say of the end of a request.
+// line holds the fields of a log line "answered" or "refused", which a node writes at the end of a
+// request.
 type line struct {
-	Message    string    `json:"@message"`
-	Time       time.Time `json:"@timestamp"`
-	Pool       string    `json:"pool"`
-	Route      string    `json:"route"`
-	Kind       string    `json:"kind"`
-	Cold       bool      `json:"cold"`
-	Attempts   int       `json:"attempts"`
-	WaitedMs   int64     `json:"waitedMs"`
-	ExpectedMs int64     `json:"expectedMs"`
-	TookMs     int64     `json:"tookMs"`
-	AllowedMs  int64     `json:"allowedMs"`
-	PatienceMs int64     `json:"patienceMs"`
+	Message         string    `json:"@message"`
+	Time            time.Time `json:"@timestamp"`
+	Pool            string    `json:"pool"`
+	Route           string    `json:"route"`
+	Kind            string    `json:"kind"`
+	Cold            bool      `json:"cold"`
+	Attempts        int       `json:"attempts"`
+	WaitedMs        int64     `json:"waitedMs"`
+	ExpectedMs      int64     `json:"expectedMs"`
+	TookMs          int64     `json:"tookMs"`
+	AllowedMs       int64     `json:"allowedMs"`
+	CallerTimeoutMs int64     `json:"patienceMs"`
 }
 
+// start returns when the request arrived.
 func (l *line) start() time.Time { return l.Time.Add(-millis(l.TookMs)) }
 
-// leaves is when the caller would have left.
-func (l *line) leaves() time.Time {
+// callerDeadline returns when the caller would have given up: at the end of the time that the
+// request allows, or earlier if the caller's own timeout is shorter.
+func (l *line) callerDeadline() time.Time {
 	d := millis(l.AllowedMs)
-	if p := millis(l.PatienceMs); p > 0 {
+	if p := millis(l.CallerTimeoutMs); p > 0 {
 		d = min(d, p)
 	}
 	return l.start().Add(d)
@@ -69,11 +75,12 @@
 
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// maxLine bounds a line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the longest log line that is read.
+const maxLineBytes = 1 << 20
 
-// Read reads the logs of all nodes. What stands before a line's JSON is passed over, so
-// that logs with a prefix can be read as they are.
+// Read reads the logs of all nodes and returns their figures. Text before the JSON object of a line
+// is skipped, so that logs with a prefix can be read unchanged. It returns an error that names the
+// line if a line is not valid JSON.
 func Read(r io.Reader) (*Report, error) {
 	lines, err := readLines(r)
 	if err != nil {
@@ -94,10 +101,11 @@
 	return out, nil
 }
 
+// readLines returns the lines "answered" and "refused" of requests that matched a route.
 func readLines(r io.Reader) ([]line, error) {
 	var out []line
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, maxLine)
+	sc.Buffer(nil, maxLineBytes)
 	for n := 1; sc.Scan(); n++ {
 		raw := sc.Bytes()
 		at := bytes.IndexByte(raw, '{')
@@ -106,7 +114,7 @@
 		}
 		var l line
 		if err := json.Unmarshal(raw[at:], &l); err != nil {
-			return nil, fmt.Errorf("line %d is no log line; give the nodes' standard output: %w", n, err)
+			return nil, fmt.Errorf("line %d is not a log line; pass the standard output of the nodes: %w", n, err)
 		}
 		if l.Route != "" {
 			out = append(out, l)
@@ -115,8 +123,8 @@
 	return out, sc.Err()
 }
 
-// add takes one request in. Served are the moments at which requests of its pool got
-// their places.
+// add adds one request to the figures. served holds the times at which requests of its pool got a
+// slot at an endpoint.
 func (r *Report) add(l *line, served []time.Time) {
 	r.Requests++
 	switch l.Message {
@@ -129,33 +137,34 @@
 			r.Errors = append(r.Errors, (millis(l.WaitedMs) - millis(l.ExpectedMs)).Abs())
 		}
 	case "refused":
-		if l.Kind == hopelessKind {
+		if l.Kind == deadlineKind {
 			r.Hopeless++
-			if anyWithin(served, l.Time, l.leaves()) {
+			if anyWithin(served, l.Time, l.callerDeadline()) {
 				r.Needless++
 			}
 		}
-		if took := millis(l.TookMs); l.Attempts == 0 && took >= fruitlessFrom {
+		if took := millis(l.TookMs); l.Attempts == 0 && took >= minUnansweredWait {
 			r.Fruitless++
 			r.Wasted += took
 		}
 	}
 }
 
+// anyWithin reports whether any of the moments lies between from and to, exclusive.
 func anyWithin(moments []time.Time, from, to time.Time) bool {
 	return slices.ContainsFunc(moments, func(t time.Time) bool { return t.After(from) && t.Before(to) })
 }
 
-// Quantile returns the error that a part of the forecasts does not exceed; 0 where there
-// are none.
-func (r *Report) Quantile(part float64) time.Duration {
+// Quantile returns the error that the given share of the forecasts does not exceed, or 0 if there
+// are no forecasts.
+func (r *Report) Quantile(share float64) time.Duration {
 	if len(r.Errors) == 0 {
 		return 0
 	}
-	return r.Errors[min(len(r.Errors)-1, int(part*float64(len(r.Errors))))]
+	return r.Errors[min(len(r.Errors)-1, int(share*float64(len(r.Errors))))]
 }
 
-// Write prints the table.
+// Write writes the figures as a table.
 func (r *Report) Write(w io.Writer) error {
 	_, err := fmt.Fprintf(w, `requests                                          %8d
 waited for a model, and were answered             %8d
@@ -165,9 +174,9 @@
   of these, the model came before the caller left %8d  %5.2f in 100
 waits that ended in nothing                       %8d  %5.2f in 100, %s in all
 `, r.Requests, r.Cold, r.Quantile(0.5).Round(time.Millisecond), r.Quantile(0.9).Round(time.Millisecond),
-		r.Hopeless, r.part(r.Hopeless), r.Needless, r.part(r.Needless), r.Fruitless, r.part(r.Fruitless), r.Wasted.Round(time.Millisecond))
+		r.Hopeless, r.percent(r.Hopeless), r.Needless, r.percent(r.Needless), r.Fruitless, r.percent(r.Fruitless), r.Wasted.Round(time.Millisecond))
 	return err
 }
 
-// part is a number of requests in 100 of all.
-func (r *Report) part(n int) float64 { return 100 * float64(n) / float64(max(1, r.Requests)) }
+// percent returns n as a percentage of all requests.
+func (r *Report) percent(n int) float64 { return 100 * float64(n) / float64(max(1, r.Requests)) }
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -9,7 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// logs are lines of two nodes, as the users' bench prints them and bare.
+// logs holds lines of two nodes, with the prefix of the users' bench and without, and lines that
+// must be skipped.
 const logs = `noise before the logs
   1.0 a {"@message":"answered","@timestamp":"2026-01-01T00:00:01.000Z","route":"r","pool":"m","cold":true,"attempts":1,"waitedMs":400,"expectedMs":500,"tookMs":600}
   1.1 a {"@message":"refused","@timestamp":"2026-01-01T00:00:00.100Z","route":"r","pool":"m","kind":"cannotMakeDeadline","allowedMs":6000,"patienceMs":2000,"tookMs":5}
@@ -19,12 +20,13 @@
 {"@message":"answered","@timestamp":"2026-01-01T00:00:09.000Z","route":"r","pool":"n","tookMs":10}
 `
 
+// TestRead checks which refusals count as needless and that lines of other requests are skipped.
 func TestRead(t *testing.T) {
 	got, err := Read(strings.NewReader(logs))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The model came 0.7 s after the two refusals: one caller would have been there.
+	// The model was ready 0.7 s after both refusals: one caller would still have been waiting.
 	want := &Report{Requests: 5, Cold: 1, Errors: []time.Duration{100 * time.Millisecond}, Hopeless: 2, Needless: 1, Fruitless: 1, Wasted: 5 * time.Second}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("report (-want +got):\n%s", diff)
@@ -35,16 +37,18 @@
 	}
 }
 
+// TestReadRefuses checks that the error for a malformed line names the line.
 func TestReadRefuses(t *testing.T) {
 	if _, err := Read(strings.NewReader("x\n{\"answered\" broken")); err == nil || !strings.Contains(err.Error(), "line 2") {
-		t.Errorf("a broken line gave %v, want an error that names it", err)
+		t.Errorf("a malformed line gave error %v, want one that names the line", err)
 	}
 }
 
+// TestQuantile checks the bounds of the quantiles, and that of no forecasts.
 func TestQuantile(t *testing.T) {
 	r := &Report{}
 	if got := r.Quantile(0.5); got != 0 {
-		t.Errorf("of none: %v, want 0", got)
+		t.Errorf("quantile of no forecasts: %v, want 0", got)
 	}
 	for i := range 10 {
 		r.Errors = append(r.Errors, time.Duration(i))
