--- a/internal/bench/burst.go
+++ b/internal/bench/burst.go
@@ -14,43 +14,53 @@
 	"olivetiller/standin/site"
 )
 
-// Burst is an experiment: requests for cold models at every node at once.
+// Burst is an experiment in which every node receives requests for the same models at once while
+// none of them is loaded. It measures how long cold starts take and how many log appends they cost,
+// and checks that no load takes effect that was not decided, that no model exceeds its replicas,
+// and that every request gets an answer or a typed refusal.
 type Burst struct {
 	Setup
+	// Models is the number of models requested.
 	Models int
-	// PerNode is how many requests each node gets for each model.
+	// PerNode is the number of requests to each node for each model.
 	PerNode int
+	// Timeout is the time that each caller allows.
 	Timeout time.Duration
 }
 
-// BurstResult is what a burst showed.
+// BurstResult holds the figures and violations of a burst.
 type BurstResult struct {
 	Deployment string   `json:"deployment"`
 	Nodes      int      `json:"nodes"`
 	Models     int      `json:"models"`
 	Faults     []string `json:"faults"`
 	Seed       uint64   `json:"seed"`
-	Asked      int      `json:"asked"`
-	Whole      int      `json:"whole"`
-	// Refused counts typed refusals by kind; Lost those that got neither.
+	// Asked counts the requests, Whole those that got a complete answer.
+	Asked int `json:"asked"`
+	Whole int `json:"whole"`
+	// Refused counts the typed refusals by kind, Lost the requests that got neither answer nor
+	// refusal.
 	Refused map[string]int `json:"refused"`
 	Lost    int            `json:"lost"`
-	// Decided and Loaded count loads on the log and at the engines.
-	Decided       int `json:"decided"`
-	Loaded        int `json:"loaded"`
+	// Decided counts the loads accepted on the log, Loaded those that took effect at engines.
+	Decided int `json:"decided"`
+	Loaded  int `json:"loaded"`
+	// Overcommitted counts the violations of memory and replica limits at engines and in the ledger.
 	Overcommitted int `json:"overcommitted"`
-	Appends       int `json:"appends"`
-	// AppendsPerColdStart is Appends over Decided, in the burst alone.
+	// Appends counts the appends to the control stream during the burst.
+	Appends int `json:"appends"`
+	// AppendsPerColdStart is Appends divided by Decided.
 	AppendsPerColdStart float64 `json:"appendsPerColdStart"`
-	// LoadRecords counts the proposals to load, LoadsRejected those that were
-	// rejected, by reason.
+	// LoadRecords counts the proposals to load a model, LoadsRejected those that were rejected, by
+	// reason.
 	LoadRecords   int            `json:"loadRecords"`
 	LoadsRejected map[string]int `json:"loadsRejected"`
-	ColdStart     Latency        `json:"coldStart"`
-	Violations    []string       `json:"violations"`
+	// ColdStart is the time until a caller had its answer or refusal.
+	ColdStart  Latency  `json:"coldStart"`
+	Violations []string `json:"violations"`
 }
 
-// Run runs the experiment.
+// Run starts the deployment, runs the experiment and returns its result.
 func (b Burst) Run(ctx context.Context) (*BurstResult, error) {
 	f, err := b.start(ctx)
 	if err != nil {
@@ -66,16 +76,16 @@
 	faultsDone := make(chan struct{})
 	go func() {
 		defer close(faultsDone)
-		inject(ctx, f, b.Faults, rng)
+		injectFaults(ctx, f, b.Faults, rng)
 	}()
 	b.load(ctx, f, r)
 	<-faultsDone
 	r.Violations = append(r.Violations, watch()...)
-	b.settle(f, r, before)
+	b.checkLoads(f, r, before)
 	return r, nil
 }
 
-// load sends the requests and counts their ends.
+// load sends the requests and records their results.
 func (b Burst) load(ctx context.Context, f *fleet.Fleet, r *BurstResult) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -89,13 +99,13 @@
 				go func() {
 					defer wg.Done()
 					prompt := fmt.Sprintf("%s-%d-%d", n.Settings.Name, m, i)
-					res, took := askUntilAnswered(ctx, c, nodes, n, client.Ask{
+					res, took := completeWithRetries(ctx, c, nodes, n, client.Ask{
 						Model: site.ModelName(m), Prompt: prompt, Tokens: 8, Stream: i%2 == 0, Timeout: b.Timeout,
 					})
 					mu.Lock()
 					defer mu.Unlock()
 					samples = append(samples, took)
-					b.count(r, res)
+					b.record(r, res)
 				}()
 			}
 		}
@@ -104,9 +114,10 @@
 	r.ColdStart = latencyOf(samples)
 }
 
-// askUntilAnswered is a caller behind the balancer: when its node dies it sends
-// the repeatable request again, to another node.
-func askUntilAnswered(ctx context.Context, c *client.Client, nodes []*entry.Node, n *entry.Node, a client.Ask) (client.Result, time.Duration) {
+// completeWithRetries sends a repeatable request as a caller behind a load balancer does: if its
+// node fails, it sends the request again to another node. It returns the last result and the total
+// time.
+func completeWithRetries(ctx context.Context, c *client.Client, nodes []*entry.Node, n *entry.Node, a client.Ask) (client.Result, time.Duration) {
 	begin := time.Now()
 	res := c.Complete(ctx, n.CallerAddress(), a)
 	for i := 0; i < len(nodes) && ctx.Err() == nil; i++ {
@@ -118,7 +129,8 @@
 	return res, time.Since(begin)
 }
 
-func (b Burst) count(r *BurstResult, res client.Result) {
+// record adds the result of a request to the figures.
+func (b Burst) record(r *BurstResult, res client.Result) {
 	r.Asked++
 	switch {
 	case res.Whole:
@@ -131,10 +143,10 @@
 	}
 }
 
-// settle compares the log's decisions with the engines' records.
-func (b Burst) settle(f *fleet.Fleet, r *BurstResult, before int) {
+// checkLoads compares the loads decided on the log with those that the engines recorded.
+func (b Burst) checkLoads(f *fleet.Fleet, r *BurstResult, before int) {
 	r.Appends = f.Site.Log.Appends(control.ControlStream) - before
-	log := replayLog(f)
+	log := summarizeLog(f)
 	r.Decided, r.Loaded = log.decided, f.Site.Loads()
 	r.LoadRecords, r.LoadsRejected = log.loads, log.rejected
 	if log.decided > 0 {
@@ -148,8 +160,8 @@
 	r.Violations = append(append(r.Violations, over...), log.violations...)
 }
 
-// watchReplicas samples how many engines hold each unit, until the returned
-// function is called, which returns the excesses found.
+// watchReplicas samples how many engines hold each model until the returned function is called.
+// That function returns a violation for each model that was on more engines than its limit allows.
 func watchReplicas(ctx context.Context, f *fleet.Fleet) func() []string {
 	ctx, cancel := context.WithCancel(ctx)
 	found := make(chan []string, 1)
--- a/internal/bench/doc.go
+++ b/internal/bench/doc.go
@@ -1,6 +1,6 @@
-// Package bench runs the experiments of olivebench: a seeded load and a schedule
-// of faults against in-process nodes and the stand-ins, over real sockets on
-// loopback. Each experiment checks the promises it touches against the
-// stand-ins' own records, not against the nodes' word, and returns its figures
-// with the violations found. Load is bounded in count and time.
+// Package bench runs the experiments of olivebench. An experiment sends a seeded load to nodes in
+// this process, while a schedule of faults is applied to the nodes and to the stand-ins of the
+// platform and the engines; all traffic goes over sockets on loopback. Each experiment compares
+// what callers were told with the records of the stand-ins, not with those of the nodes, and
+// returns its figures with the violations found. Load is bounded in count and time.
 package bench
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -11,7 +11,7 @@
 	"olivetiller/standin/fault"
 )
 
-// Fault names.
+// Names of the faults, as given on the command line.
 const (
 	FaultNone        = "none"
 	FaultLostAnswers = "lostAnswers"
@@ -24,10 +24,11 @@
 	FaultAll         = "all"
 )
 
-// FaultNames are all faults but none and all.
+// FaultNames lists all faults, without FaultNone and FaultAll.
 var FaultNames = []string{FaultLostAnswers, FaultLogOutage, FaultSlowLog, FaultSlowStore, FaultNodeKill, FaultPause, FaultEngineKill}
 
-// ParseFaults returns the faults in a list separated by commas.
+// ParseFaults returns the faults in a comma-separated list, with FaultAll expanded. It fails on an
+// unknown name.
 func ParseFaults(list string) ([]string, error) {
 	var out []string
 	for _, name := range strings.Split(list, ",") {
@@ -36,8 +37,8 @@
 		case FaultAll:
 			out = append(out, FaultNames...)
 		default:
-			if !known(name) {
-				return nil, fmt.Errorf("there is no fault %q; use none, all or some of %s", name, strings.Join(FaultNames, ","))
+			if !isFault(name) {
+				return nil, fmt.Errorf("unknown fault %q; use none, all, or a list of %s", name, strings.Join(FaultNames, ","))
 			}
 			out = append(out, name)
 		}
@@ -45,7 +46,7 @@
 	return out, nil
 }
 
-func known(name string) bool {
+func isFault(name string) bool {
 	for _, f := range FaultNames {
 		if f == name {
 			return true
@@ -54,17 +55,19 @@
 	return false
 }
 
-// Times of the faults, from the beginning of the load.
+// Delays and lengths of the faults. Faults with a delay are applied one after the other; each delay
+// counts from the end of the fault before.
 const (
-	outageFrom  = 150 * time.Millisecond
-	outageLasts = 2 * time.Second
+	outageAfter = 150 * time.Millisecond
+	outageTime  = 2 * time.Second
 	killAfter   = 300 * time.Millisecond
 	pauseAfter  = 200 * time.Millisecond
-	pauseLasts  = 4 * time.Second
+	pauseTime   = 4 * time.Second
 )
 
-// inject puts the faults in force and returns when they are over.
-func inject(ctx context.Context, f *fleet.Fleet, faults []string, rng *rand.Rand) {
+// injectFaults applies the faults and returns when the timed ones are over. Lost answers, a slow
+// log and a slow store stay in effect.
+func injectFaults(ctx context.Context, f *fleet.Fleet, faults []string, rng *rand.Rand) {
 	for _, name := range faults {
 		switch name {
 		case FaultLostAnswers:
@@ -78,17 +81,17 @@
 	for _, name := range faults {
 		switch name {
 		case FaultLogOutage:
-			sleep(ctx, outageFrom)
+			sleep(ctx, outageAfter)
 			f.Site.Log.Faults.Change(func(s *fault.Switches) { s.Down = true })
-			sleep(ctx, outageLasts)
+			sleep(ctx, outageTime)
 			f.Site.Log.Faults.Change(func(s *fault.Switches) { s.Down = false })
 		case FaultNodeKill:
 			sleep(ctx, killAfter)
-			killOne(f, rng)
+			killNode(f, rng)
 		case FaultPause:
 			sleep(ctx, pauseAfter)
 			if list := f.Nodes(); len(list) > 0 {
-				list[rng.IntN(len(list))].Control.Freeze(ctx, pauseLasts)
+				list[rng.IntN(len(list))].Control.Freeze(ctx, pauseTime)
 			}
 		case FaultEngineKill:
 			sleep(ctx, killAfter)
@@ -97,8 +100,8 @@
 	}
 }
 
-// killOne kills a random node, but leaves three.
-func killOne(f *fleet.Fleet, rng *rand.Rand) {
+// killNode kills a random node, unless three nodes or fewer are left.
+func killNode(f *fleet.Fleet, rng *rand.Rand) {
 	list := f.Nodes()
 	if len(list) <= 3 {
 		return
@@ -106,6 +109,7 @@
 	f.Kill(list[rng.IntN(len(list))].Settings.Name)
 }
 
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/bench/fit.go
+++ b/internal/bench/fit.go
@@ -12,28 +12,29 @@
 	Y float64 `json:"y"`
 }
 
-// Slope is a measured quantity against a size, with the straight line fitted.
+// Slope is a quantity measured at several sizes, with the least-squares line through the points.
 type Slope struct {
-	// Name says what was measured, XUnit and YUnit in what.
+	// Name is the name of the quantity; XUnit and YUnit are the units of the size and of the
+	// quantity.
 	Name  string `json:"name"`
 	XUnit string `json:"xUnit"`
 	YUnit string `json:"yUnit"`
-	// How says on what: real nodes over sockets, or the code alone.
+	// How describes the setting: real nodes over sockets, or the code alone.
 	How    string  `json:"how"`
 	Points []Point `json:"points"`
-	// Base and PerX are the line Base + PerX * x.
+	// Base and PerX define the line y = Base + PerX*x.
 	Base float64 `json:"base"`
 	PerX float64 `json:"perX"`
-	// R2 is the share of the variance that the line explains; WorstError the
-	// largest deviation of a point from the line, as a share of the point.
+	// R2 is the share of the variance that the line explains. WorstError is the largest deviation
+	// of a point from the line, relative to the point.
 	R2         float64 `json:"r2"`
 	WorstError float64 `json:"worstError"`
 }
 
-// At returns the line's value at a size.
+// At returns the value of the line at size x.
 func (s *Slope) At(x float64) float64 { return s.Base + s.PerX*x }
 
-// fit puts the least-squares line through the points.
+// fit sets the line and its errors from the points.
 func (s *Slope) fit() {
 	xs, ys := make([]float64, len(s.Points)), make([]float64, len(s.Points))
 	for i, p := range s.Points {
@@ -42,7 +43,7 @@
 	s.Base, s.PerX = stat.LinearRegression(xs, ys, nil, false)
 	s.R2 = stat.RSquared(xs, ys, nil, s.Base, s.PerX)
 	if math.IsNaN(s.R2) {
-		// All points are equal: the level line explains them.
+		// All points have the same value, which a constant line explains fully.
 		s.R2 = 1
 	}
 	for _, p := range s.Points {
--- a/internal/bench/fleetslopes.go
+++ b/internal/bench/fleetslopes.go
@@ -9,22 +9,26 @@
 	"olivetiller/internal/entry"
 )
 
+// realNodes is the setting of slopes measured on in-process nodes, as in Slope.How.
 const realNodes = "real nodes in one process over loopback sockets, idle after start"
 
-// fleetSample is what one idle fleet showed, for each node and second.
+// fleetSample holds what one idle fleet used, per second and, unless stated otherwise, per node.
 type fleetSample struct {
-	nodes                     float64
+	nodes float64
+	// wireBytes is the mean of the traffic between nodes, wirePeak that of the busiest node, msgs the
+	// number of requests to other nodes.
 	wireBytes, wirePeak, msgs float64
 	cpuShare                  float64
 	heapBytes                 float64
-	appends                   float64
+	// appends counts the log appends of all nodes.
+	appends float64
 }
 
-// fleets measures idle fleets of several sizes.
-func (s Slopes) fleets(ctx context.Context) ([]*Slope, error) {
+// fleetSlopes measures idle fleets of several sizes and fits a line to each quantity.
+func (s Slopes) fleetSlopes(ctx context.Context) ([]*Slope, error) {
 	samples := make([]fleetSample, 0, len(s.FleetSizes))
 	for _, n := range s.FleetSizes {
-		sample, err := s.fleet(ctx, n)
+		sample, err := s.measureFleet(ctx, n)
 		if err != nil {
 			return nil, err
 		}
@@ -48,9 +52,9 @@
 	}, nil
 }
 
-// fleet starts n nodes, lets them settle and watches them.
-func (s Slopes) fleet(ctx context.Context, n int) (fleetSample, error) {
-	before := heap()
+// measureFleet starts n nodes, lets them settle, and measures them for as long again.
+func (s Slopes) measureFleet(ctx context.Context, n int) (fleetSample, error) {
+	before := heapInUse()
 	f, err := Setup{Deployment: "krautwerk", Nodes: n, Seed: 1, Verbose: s.Verbose}.start(ctx)
 	if err != nil {
 		return fleetSample{}, err
@@ -58,12 +62,12 @@
 	defer f.Close()
 	sleep(ctx, s.Settle)
 	nodes := f.Nodes()
-	start := traffic(nodes)
+	start := peerTraffic(nodes)
 	cpu, appends := cpuTime(), f.Site.Log.Appends(control.ControlStream)
 	begin := time.Now()
 	sleep(ctx, s.Settle)
 	seconds := time.Since(begin).Seconds()
-	end := traffic(nodes)
+	end := peerTraffic(nodes)
 	count := float64(len(nodes))
 	sample := fleetSample{
 		nodes:    count,
@@ -72,17 +76,18 @@
 	}
 	for i := range end {
 		wire := float64(end[i].WireSent-start[i].WireSent+end[i].WireReceived-start[i].WireReceived) / seconds
-		// Each connection is seen at the node that began it: what it sends and
-		// receives there is received and sent at the other end.
+		// A connection is counted only at the node that opened it. The bytes sent and received
+		// there are received and sent at the other end, so both ends together use twice as much.
 		sample.wireBytes += 2 * wire / count
 		sample.wirePeak = max(sample.wirePeak, 2*wire)
 		sample.msgs += float64(end[i].Messages-start[i].Messages) / seconds / count
 	}
-	sample.heapBytes = (heap() - before) / count
+	sample.heapBytes = (heapInUse() - before) / count
 	return sample, nil
 }
 
-func traffic(nodes []*entry.Node) []entry.PeerTraffic {
+// peerTraffic returns the traffic counters of each node.
+func peerTraffic(nodes []*entry.Node) []entry.PeerTraffic {
 	out := make([]entry.PeerTraffic, len(nodes))
 	for i, n := range nodes {
 		out[i] = n.PeerTraffic()
@@ -90,7 +95,7 @@
 	return out
 }
 
-// cpuTime returns the processor time of this process.
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/bench/once.go
+++ b/internal/bench/once.go
@@ -16,50 +16,57 @@
 	"olivetiller/standin/service"
 )
 
-// Once is an experiment: requests that may not be repeated, each sent by its
-// caller through two nodes, some at once and some later.
+// Once is an experiment with requests that must not run more than once, each sent by its caller
+// through two nodes, with up to 200 ms between the two. It measures the latency of such requests
+// and checks, against the records of the service, that no request ran twice and that every answer
+// and every "not run" refusal was true.
 type Once struct {
 	Setup
+	// Requests is the number of different requests.
 	Requests int
-	// PerSecond is the rate at which new requests arrive, whatever the answers.
+	// PerSecond is the rate at which new requests are sent, independent of the answers.
 	PerSecond float64
-	Timeout   time.Duration
+	// Timeout is the time that each caller allows.
+	Timeout time.Duration
 }
 
-// OnceResult is what the experiment showed.
+// OnceResult holds the figures and violations of the experiment.
 type OnceResult struct {
 	Deployment string   `json:"deployment"`
 	Nodes      int      `json:"nodes"`
 	Faults     []string `json:"faults"`
 	Seed       uint64   `json:"seed"`
 	Requests   int      `json:"requests"`
-	Sent       int      `json:"sent"`
-	Whole      int      `json:"whole"`
-	// Refused counts typed refusals by kind.
+	// Sent counts the sends, two for each request; Whole those that got a complete answer.
+	Sent  int `json:"sent"`
+	Whole int `json:"whole"`
+	// Refused counts the typed refusals by kind.
 	Refused map[string]int `json:"refused"`
-	// Cut counts sends whose node died; their caller learns nothing.
+	// Cut counts the sends that got neither answer nor refusal, as when the node died.
 	Cut int `json:"cut"`
 	// Ran counts the keys that ran, MaxRuns the most runs of one key.
 	Ran     int `json:"ran"`
 	MaxRuns int `json:"maxRuns"`
-	// NotRunChecked counts the "not run" refusals checked against the service.
-	NotRunChecked int     `json:"notRunChecked"`
-	Answer        Latency `json:"answer"`
-	// Direct is the same call straight to the service.
+	// NotRunChecked counts the "not run" refusals that were compared with the records of the
+	// service.
+	NotRunChecked int `json:"notRunChecked"`
+	// Answer is the time until a complete answer.
+	Answer Latency `json:"answer"`
+	// Direct is the time that the service itself takes, without a node in between.
 	Direct          Latency  `json:"direct"`
 	ClaimsPerSecond float64  `json:"claimsPerSecond"`
 	Appends         int      `json:"appends"`
 	Violations      []string `json:"violations"`
 }
 
-// outcome is one key's history.
-type outcome struct {
+// keyHistory holds the results of all sends of one key.
+type keyHistory struct {
 	key     string
 	body    []byte
 	results []client.Result
 }
 
-// Run runs the experiment.
+// Run starts the deployment, runs the experiment and returns its result.
 func (o Once) Run(ctx context.Context) (*OnceResult, error) {
 	f, err := o.start(ctx)
 	if err != nil {
@@ -73,31 +80,31 @@
 	faultsDone := make(chan struct{})
 	go func() {
 		defer close(faultsDone)
-		inject(ctx, f, o.Faults, rng)
+		injectFaults(ctx, f, o.Faults, rng)
 	}()
 	begin := time.Now()
 	outcomes := o.load(ctx, f, rng)
 	took := time.Since(begin)
 	<-faultsDone
 	r.Appends = f.Site.Log.Appends(control.ControlStream) - before
-	o.judge(f, r, outcomes)
+	o.check(f, r, outcomes)
 	r.ClaimsPerSecond = float64(r.Ran) / took.Seconds()
 	return r, nil
 }
 
 // load sends the requests as an open loop: arrivals do not wait for answers.
-func (o Once) load(ctx context.Context, f *fleet.Fleet, rng *rand.Rand) []*outcome {
+func (o Once) load(ctx context.Context, f *fleet.Fleet, rng *rand.Rand) []*keyHistory {
 	nodes := f.Nodes()
 	c := client.New("clerk")
 	svc := f.Site.Shape.Services[0]
-	outcomes := make([]*outcome, o.Requests)
+	outcomes := make([]*keyHistory, o.Requests)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	start := time.Now()
 	for i := range o.Requests {
 		at := time.Duration(float64(i) / o.PerSecond * float64(time.Second))
 		sleep(ctx, time.Until(start.Add(at)))
-		oc := &outcome{key: uuid.Must(uuid.NewV7()).String(), body: []byte(fmt.Sprintf(`{"ticket":%d}`, i))}
+		oc := &keyHistory{key: uuid.Must(uuid.NewV7()).String(), body: []byte(fmt.Sprintf(`{"ticket":%d}`, i))}
 		outcomes[i] = oc
 		first, second := rng.IntN(len(nodes)), rng.IntN(len(nodes))
 		gap := time.Duration(rng.IntN(200)) * time.Millisecond
@@ -117,8 +124,8 @@
 	return outcomes
 }
 
-// judge compares every answer with the service's own record.
-func (o Once) judge(f *fleet.Fleet, r *OnceResult, outcomes []*outcome) {
+// check compares every result with the records of the service.
+func (o Once) check(f *fleet.Fleet, r *OnceResult, outcomes []*keyHistory) {
 	svc := f.Site.Shape.Services[0]
 	var samples []time.Duration
 	for _, oc := range outcomes {
@@ -132,23 +139,25 @@
 		}
 		for _, res := range oc.results {
 			r.Sent++
-			samples = append(samples, o.judgeOne(r, oc, res, runs)...)
+			samples = append(samples, o.checkResult(r, oc, res, runs)...)
 		}
 	}
 	r.Answer = latencyOf(samples)
-	r.Direct = o.direct(f)
+	r.Direct = o.serviceTime(f)
 }
 
-func (o Once) judgeOne(r *OnceResult, oc *outcome, res client.Result, runs int) []time.Duration {
+// checkResult checks the result of one send of a key that ran the given number of times, and returns the
+// latency of a complete answer.
+func (o Once) checkResult(r *OnceResult, oc *keyHistory, res client.Result, runs int) []time.Duration {
 	switch {
 	case res.Refused():
 		r.Refused[res.Refusal.Title]++
 		if res.Refusal.NotRun {
 			r.NotRunChecked++
-			// The other send of the key may have run it; then this send was told
-			// of its own request that it did not run, which must not be read as
-			// a word on the key. Only a key that no send got an answer for counts.
-			if runs > 0 && !answered(oc) {
+			// "Not run" refers to this send only: the other send of the same key may have run it.
+			// It is a violation only if the key ran although no send of it has a result that allows
+			// for a run.
+			if runs > 0 && !mayHaveRun(oc) {
 				r.Violations = append(r.Violations, fmt.Sprintf("%s was refused as not run (%s) and ran", oc.key, res.Refusal.Title))
 			}
 		}
@@ -167,7 +176,9 @@
 	return nil
 }
 
-func answered(oc *outcome) bool {
+// mayHaveRun reports whether any send of a key got an answer, a refusal that does not exclude a run, or an
+// error.
+func mayHaveRun(oc *keyHistory) bool {
 	for _, res := range oc.results {
 		if res.Whole || (res.Refused() && !res.Refusal.NotRun) || res.Err != nil {
 			return true
@@ -176,8 +187,9 @@
 	return false
 }
 
-// direct measures the same call without a node between.
-func (o Once) direct(f *fleet.Fleet) Latency {
+// serviceTime measures the time that the service works on a call, by sleeping for it; it sends no
+// call.
+func (o Once) serviceTime(f *fleet.Fleet) Latency {
 	const calls = 200
 	var samples []time.Duration
 	svc := f.Site.Services[f.Site.Shape.Services[0]][0]
--- a/internal/bench/setup.go
+++ b/internal/bench/setup.go
@@ -15,14 +15,15 @@
 	"olivetiller/standin/site"
 )
 
-// Setup is what every experiment starts from.
+// Setup describes the deployment and the faults that an experiment starts from.
 type Setup struct {
+	// Deployment names the shape: krautwerk or suva.
 	Deployment string
 	Nodes      int
 	Seed       uint64
 	Faults     []string
 	Verbose    bool
-	// Shape changes the deployment's shape; nil leaves it.
+	// Shape modifies the deployment's shape before it starts; nil leaves it unchanged.
 	Shape func(*site.Shape)
 }
 
@@ -35,7 +36,7 @@
 	case "suva":
 		shape = site.Suva()
 	default:
-		return shape, fmt.Errorf("there is no deployment %q; use krautwerk or suva", s.Deployment)
+		return shape, fmt.Errorf("unknown deployment %q; use krautwerk or suva", s.Deployment)
 	}
 	shape.Seed = s.Seed
 	if s.Shape != nil {
@@ -44,7 +45,8 @@
 	return shape, nil
 }
 
-// start runs the deployment with its configuration in force.
+// start starts the stand-ins and the nodes, publishes the configuration and waits until every node
+// uses it.
 func (s Setup) start(ctx context.Context) (*fleet.Fleet, error) {
 	shape, err := s.shape()
 	if err != nil {
@@ -63,14 +65,16 @@
 		st.Close()
 		return nil, err
 	}
-	if err := s.ready(ctx, f); err != nil {
+	if err := s.startNodes(ctx, f); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (s Setup) ready(ctx context.Context, f *fleet.Fleet) error {
+// startNodes starts the nodes, publishes the configuration and waits until all nodes have it and the
+// engines.
+func (s Setup) startNodes(ctx context.Context, f *fleet.Fleet) error {
 	for i := range s.Nodes {
 		if _, err := f.StartNode(fmt.Sprintf("node-%03d", i+1)); err != nil {
 			return err
@@ -89,7 +93,7 @@
 	return f.AwaitEngines(ctx)
 }
 
-// Latency is a distribution in milliseconds.
+// Latency is a distribution of times, in milliseconds.
 type Latency struct {
 	Count int     `json:"count"`
 	P50   float64 `json:"p50Ms"`
@@ -112,18 +116,18 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// replay is what the log says, folded anew apart from any node.
-type replay struct {
-	// loads counts the proposals to load, decided those accepted, and rejected
-	// the others by reason.
+// logSummary holds what a replay of the log shows, independent of the state of any node.
+type logSummary struct {
+	// loads counts the proposals to load a model, decided the accepted ones, and rejected the
+	// others by reason.
 	loads, decided int
 	rejected       map[string]int
 	violations     []string
 }
 
-// replayLog folds the whole log.
-func replayLog(f *fleet.Fleet) replay {
-	r := replay{rejected: make(map[string]int)}
+// summarizeLog applies all records of the control stream and summarizes them.
+func summarizeLog(f *fleet.Fleet) logSummary {
+	r := logSummary{rejected: make(map[string]int)}
 	s := ledger.NewState()
 	for _, rec := range f.Site.Log.Records(control.ControlStream) {
 		for _, o := range s.ApplyEntry(rec.Offset, rec.Data) {
@@ -137,13 +141,14 @@
 				r.rejected[o.Reason.Name()]++
 			}
 		}
-		r.violations = append(r.violations, overcommitted(s)...)
+		r.violations = append(r.violations, ledgerViolations(s)...)
 	}
 	return r
 }
 
-// overcommitted checks the ledger's own accounts.
-func overcommitted(s *ledger.State) []string {
+// ledgerViolations returns the engines with more memory committed than they have, and the units
+// with more replicas than allowed.
+func ledgerViolations(s *ledger.State) []string {
 	var out []string
 	for _, e := range s.Engines {
 		if e.Used > e.MemoryBytes {
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -17,31 +17,33 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// shares are the parts of the letter's size that the code is measured at.
-var shares = []float64{0.125, 0.25, 0.5, 1}
+// scales are the fractions of the target size at which the code is measured.
+var scales = []float64{0.125, 0.25, 0.5, 1}
 
+// codeAlone is the setting of slopes measured without nodes, as in Slope.How.
 const codeAlone = "the code alone, one goroutine, median of runs"
 
-// Slopes measures the code's slopes and, with nodes, those of real nodes.
+// Slopes measures how the cost of the main operations grows with the size of the deployment: on the
+// code alone and, if FleetSizes is set, on idle fleets of real nodes.
 type Slopes struct {
 	// FleetSizes are the numbers of in-process nodes to measure; empty for none.
 	FleetSizes []int
-	// Settle is how long each fleet is watched.
+	// Settle is how long each fleet settles before it is measured, and how long it is measured.
 	Settle  time.Duration
 	Verbose bool
 }
 
-// SlopesResult is every slope measured.
+// SlopesResult holds all slopes measured.
 type SlopesResult struct {
 	Slopes []*Slope `json:"slopes"`
 }
 
-// Run measures.
+// Run measures all slopes.
 func (s Slopes) Run(ctx context.Context) (*SlopesResult, error) {
 	r := &SlopesResult{}
 	for _, measure := range []func() *Slope{
-		foldCost, recordBytes, viewCost, viewChangeCost, planCost, quietPlanCost, snapshotCost, snapshotBytes, stateMemory,
-		claimMemory, publishCost, homeCost, learnerCost, bootCost,
+		applyCost, recordBytes, viewCost, viewChangeCost, planCost, idlePlanCost, snapshotCost, snapshotBytes, stateMemory,
+		claimMemory, publishCost, homeNodeCost, learnerCost, restoreCost,
 	} {
 		sl := measure()
 		sl.fit()
@@ -49,7 +51,7 @@
 		runtime.GC()
 	}
 	if len(s.FleetSizes) > 0 {
-		fleetSlopes, err := s.fleets(ctx)
+		fleetSlopes, err := s.fleetSlopes(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -58,8 +60,8 @@
 	return r, nil
 }
 
-// timed returns the median time of runs of f.
-func timed(runs int, f func(i int)) time.Duration {
+// medianTime returns the median time of the given number of calls of f.
+func medianTime(runs int, f func(i int)) time.Duration {
 	samples := make([]time.Duration, 0, runs)
 	for i := range runs {
 		begin := time.Now()
@@ -69,8 +71,8 @@
 	return time.Duration(latencyOf(samples).P50 * float64(time.Millisecond))
 }
 
-// timedBatch returns the time of one of n calls of f.
-func timedBatch(n int, f func(i int)) time.Duration {
+// meanTime returns the mean time of n calls of f.
+func meanTime(n int, f func(i int)) time.Duration {
 	begin := time.Now()
 	for i := range n {
 		f(i)
@@ -80,12 +82,12 @@
 
 func micros(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1e3 }
 
-// each measures y at every share of the letter's size.
-func each(s *Slope, y func(*synthetic) float64, x func(*synthetic) float64) *Slope {
-	for _, share := range shares {
+// measureScales adds a point for each of scales, at which all models are loaded.
+func measureScales(s *Slope, y func(*synthetic) float64, x func(*synthetic) float64) *Slope {
+	for _, share := range scales {
 		syn := newSynthetic(share)
 		for i := range syn.models {
-			syn.place(i)
+			syn.load(i)
 		}
 		s.Points = append(s.Points, Point{X: x(syn), Y: y(syn)})
 	}
@@ -95,13 +97,13 @@
 func byModels(s *synthetic) float64  { return float64(s.models) }
 func byEngines(s *synthetic) float64 { return float64(s.engines) }
 
-func foldCost() *Slope {
+func applyCost() *Slope {
 	s := &Slope{Name: "foldRecord", XUnit: "engines", YUnit: "microseconds a record (load, done, unload, done)", How: codeAlone}
-	return each(s, func(syn *synthetic) float64 {
+	return measureScales(s, func(syn *synthetic) float64 {
 		const n = 4000
-		return micros(timedBatch(n, func(i int) {
-			syn.unplace(i)
-			syn.place(i)
+		return micros(meanTime(n, func(i int) {
+			syn.unload(i)
+			syn.load(i)
 		})) / 4
 	}, byEngines)
 }
@@ -123,27 +125,27 @@
 
 func viewCost() *Slope {
 	s := &Slope{Name: "buildViewWhole", XUnit: "loaded models", YUnit: "microseconds a view", How: codeAlone}
-	return each(s, func(syn *synthetic) float64 {
-		in := &view.Input{Ledger: syn.state, Engines: syn.soft(), Ready: true}
-		return micros(timed(31, func(int) { view.NewBuilder().Build(in) }))
+	return measureScales(s, func(syn *synthetic) float64 {
+		in := &view.Input{Ledger: syn.state, Engines: syn.observedEngines(), Ready: true}
+		return micros(medianTime(31, func(int) { view.NewBuilder().Build(in) }))
 	}, byModels)
 }
 
 func viewChangeCost() *Slope {
 	s := &Slope{Name: "buildViewChange", XUnit: "loaded models", YUnit: "microseconds a view in which one unit changed", How: codeAlone}
-	return each(s, func(syn *synthetic) float64 {
-		in := &view.Input{Ledger: syn.state, Engines: syn.soft(), Ready: true}
+	return measureScales(s, func(syn *synthetic) float64 {
+		in := &view.Input{Ledger: syn.state, Engines: syn.observedEngines(), Ready: true}
 		b := view.NewBuilder()
 		b.Build(in)
-		return micros(timed(101, func(i int) {
+		return micros(medianTime(101, func(i int) {
 			b.Touch(unitName(i % syn.models))
 			b.Build(in)
 		}))
 	}, byModels)
 }
 
-// soft returns the soft state of every engine, all reachable.
-func (s *synthetic) soft() map[string]*plan.Engine {
+// observedEngines returns the observed state of every engine, all of them reachable.
+func (s *synthetic) observedEngines() map[string]*plan.Engine {
 	out := make(map[string]*plan.Engine, s.engines)
 	for name, e := range s.state.Engines {
 		out[name] = &plan.Engine{Up: &pb.EngineUp{Engine: name, Incarnation: e.Incarnation}, Listed: true, Reachable: true}
@@ -151,31 +153,33 @@
 	return out
 }
 
-// liveNodes returns the names of a fleet of the letter's size.
+// liveNodes returns the names of as many nodes as the target size has.
 func liveNodes() []string {
-	out := make([]string, letterNodes)
+	out := make([]string, targetNodes)
 	for i := range out {
 		out[i] = fmt.Sprintf("node-%03d", i)
 	}
 	return out
 }
 
-// planRound measures a planner's round at one of the letter's 420 nodes.
+// planRound measures a planning round at one of the 420 nodes of the target size, in microseconds,
+// with demand for the given number of units.
 func planRound(syn *synthetic, waiting int) float64 {
 	p := plan.New(ledger.NodeRef{Node: "node-007", Incarnation: 1}, policy.NewCosted(policy.DefaultWeights), 0)
 	table := demand.NewTable()
 	now := time.Unix(1764000000, 0)
 	in := &plan.Input{
-		Live: liveNodes(), Ledger: syn.state, Demand: table, Engines: syn.soft(),
+		Live: liveNodes(), Ledger: syn.state, Demand: table, Engines: syn.observedEngines(),
 		Alive: func(ledger.NodeRef) bool { return true },
 	}
 	for i := range waiting {
-		// Units that this node is the home of, and that have a replica.
+		// The units have a replica. The node plans only for those of them that it is the home node
+		// of.
 		table.Put("node-001", demand.Report{Unit: unitName(i), Waiting: 1, Deadline: now.Add(time.Minute)}, now)
 	}
 	in.Now = now
 	p.Plan(in)
-	return micros(timed(15, func(i int) {
+	return micros(medianTime(15, func(i int) {
 		in.Now = now.Add(time.Duration(i+1) * time.Second)
 		p.Plan(in)
 	}))
@@ -185,7 +189,7 @@
 	s := &Slope{Name: "planRoundBusy", XUnit: "units with demand", YUnit: "microseconds a round, with the scan of all that is loaded", How: codeAlone}
 	syn := newSynthetic(1)
 	for i := range syn.models {
-		syn.place(i)
+		syn.load(i)
 	}
 	for _, n := range []int{5, 20, 80, 320} {
 		s.Points = append(s.Points, Point{X: float64(n), Y: planRound(syn, n)})
@@ -193,21 +197,21 @@
 	return s
 }
 
-func quietPlanCost() *Slope {
+func idlePlanCost() *Slope {
 	s := &Slope{Name: "planRoundQuiet", XUnit: "engines", YUnit: "microseconds a round, with the scan of all that is loaded", How: codeAlone}
-	return each(s, func(syn *synthetic) float64 { return planRound(syn, 0) }, byEngines)
+	return measureScales(s, func(syn *synthetic) float64 { return planRound(syn, 0) }, byEngines)
 }
 
 func snapshotCost() *Slope {
 	s := &Slope{Name: "encodeSnapshot", XUnit: "engines", YUnit: "milliseconds a snapshot with its hash", How: codeAlone}
-	return each(s, func(syn *synthetic) float64 {
-		return millis(timed(5, func(int) { _, _, _ = ledger.Encode(syn.state.Snapshot()) }))
+	return measureScales(s, func(syn *synthetic) float64 {
+		return millis(medianTime(5, func(int) { _, _, _ = ledger.Encode(syn.state.Snapshot()) }))
 	}, byEngines)
 }
 
 func snapshotBytes() *Slope {
 	s := &Slope{Name: "snapshotBytes", XUnit: "engines", YUnit: "bytes", How: "encoded snapshots, models and adapters in the letter's proportion"}
-	return each(s, func(syn *synthetic) float64 {
+	return measureScales(s, func(syn *synthetic) float64 {
 		data, _, err := ledger.Encode(syn.state.Snapshot())
 		if err != nil {
 			return 0
@@ -216,8 +220,8 @@
 	}, byEngines)
 }
 
-// heap returns the bytes in use after collection.
-func heap() float64 {
+// heapInUse returns the bytes of heap in use after a garbage collection.
+func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -227,13 +231,13 @@
 
 func stateMemory() *Slope {
 	s := &Slope{Name: "ledgerHeap", XUnit: "engines", YUnit: "bytes of heap", How: "the heap before and after, models and adapters in the letter's proportion"}
-	for _, share := range shares {
-		before := heap()
+	for _, share := range scales {
+		before := heapInUse()
 		syn := newSynthetic(share)
 		for i := range syn.models {
-			syn.place(i)
+			syn.load(i)
 		}
-		s.Points = append(s.Points, Point{X: float64(syn.engines), Y: heap() - before})
+		s.Points = append(s.Points, Point{X: float64(syn.engines), Y: heapInUse() - before})
 		runtime.KeepAlive(syn)
 	}
 	return s
@@ -242,12 +246,12 @@
 func claimMemory() *Slope {
 	s := &Slope{Name: "claimHeap", XUnit: "claims held", YUnit: "bytes of heap", How: "the heap before and after"}
 	for _, n := range []int{10000, 40000, 80000, 160000} {
-		before := heap()
+		before := heapInUse()
 		syn := &synthetic{state: ledger.NewState()}
 		for i := range n {
 			syn.claim(i)
 		}
-		s.Points = append(s.Points, Point{X: float64(n), Y: heap() - before})
+		s.Points = append(s.Points, Point{X: float64(n), Y: heapInUse() - before})
 		runtime.KeepAlive(syn)
 	}
 	return s
@@ -255,8 +259,8 @@
 
 func publishCost() *Slope {
 	s := &Slope{Name: "foldPublish", XUnit: "models and adapters", YUnit: "milliseconds a publish of one changed model", How: codeAlone}
-	return each(s, func(syn *synthetic) float64 {
-		return millis(timed(9, func(i int) {
+	return measureScales(s, func(syn *synthetic) float64 {
+		return millis(medianTime(9, func(i int) {
 			m := proto.Clone(syn.state.Catalog.Config.GetModels()[0]).(*pb.Model)
 			m.MaxReplicas = uint32(i + 1)
 			syn.apply(&pb.Record{Body: &pb.Record_ConfigChange{ConfigChange: &pb.ConfigChange{
@@ -266,11 +270,11 @@
 	}, func(syn *synthetic) float64 { return float64(syn.models + syn.adapters) })
 }
 
-func homeCost() *Slope {
+func homeNodeCost() *Slope {
 	s := &Slope{Name: "home", XUnit: "nodes", YUnit: "microseconds a home", How: codeAlone}
 	all := liveNodes()
 	for _, n := range []int{7, 70, 210, 420} {
-		s.Points = append(s.Points, Point{X: float64(n), Y: micros(timedBatch(2000, func(i int) {
+		s.Points = append(s.Points, Point{X: float64(n), Y: micros(meanTime(2000, func(i int) {
 			rendezvous.Home(unitName(i), all[:n])
 		}))})
 	}
@@ -280,25 +284,25 @@
 func learnerCost() *Slope {
 	s := &Slope{Name: "learnerHeap", XUnit: "units with a history", YUnit: "bytes of heap", How: "the heap before and after"}
 	for _, n := range []int{500, 1000, 4000, 11300} {
-		before := heap()
+		before := heapInUse()
 		l := policy.NewLearner()
 		for i := range n {
 			l.Used(unitName(i), time.Unix(int64(i), 0))
 			l.Used(unitName(i), time.Unix(int64(i)+100, 0))
 		}
-		s.Points = append(s.Points, Point{X: float64(n), Y: heap() - before})
+		s.Points = append(s.Points, Point{X: float64(n), Y: heapInUse() - before})
 		runtime.KeepAlive(l)
 	}
 	return s
 }
 
-func bootCost() *Slope {
+func restoreCost() *Slope {
 	s := &Slope{Name: "restoreSnapshot", XUnit: "engines", YUnit: "milliseconds to decode, check and index", How: codeAlone}
-	return each(s, func(syn *synthetic) float64 {
+	return measureScales(s, func(syn *synthetic) float64 {
 		data, hash, err := ledger.Encode(syn.state.Snapshot())
 		if err != nil {
 			return 0
 		}
-		return millis(timed(5, func(int) { _, _ = ledger.Decode(data, hash[:]) }))
+		return millis(medianTime(5, func(int) { _, _ = ledger.Decode(data, hash[:]) }))
 	}, byEngines)
 }
