--- a/cmd/olivebench/ablation.go
+++ b/cmd/olivebench/ablation.go
@@ -7,10 +7,11 @@
 	"olivetiller/platform/rounds"
 )
 
-// ablationCmd measures what each mechanism is worth.
+// ablationCmd measures what each mechanism contributes: it runs the users' bench on a base
+// revision, with and without each mechanism, and prints the differences.
 type ablationCmd struct {
-	playedDays `embed:""`
-	Without    []string `help:"The mechanisms that are switched off, each alone; all that are known if left out."`
+	dayFlags `embed:""`
+	Without  []string `help:"Mechanisms to switch off, each in its own runs (default: all known ones)."`
 }
 
 // Run implements the command.
--- a/cmd/olivebench/burst.go
+++ b/cmd/olivebench/burst.go
@@ -6,12 +6,12 @@
 	"olivetiller/internal/bench"
 )
 
-// burstCmd is a burst for cold models.
+// burstCmd sends requests for models that are not loaded to every node at once.
 type burstCmd struct {
 	common
-	Models  int           `default:"20" help:"How many cold models are asked for."`
-	PerNode int           `default:"2" help:"Requests to each node for each model."`
-	Timeout time.Duration `default:"30s" help:"The time each caller allows."`
+	Models  int           `default:"20" help:"Number of unloaded models that are requested."`
+	PerNode int           `default:"2" help:"Number of requests to each node for each model."`
+	Timeout time.Duration `default:"30s" help:"Time that each caller allows."`
 }
 
 // Run implements the command.
@@ -26,9 +26,10 @@
 	if err != nil {
 		return err
 	}
-	return show(r, r.Violations)
+	return printResult(r, r.Violations)
 }
 
+// setup returns the start of an experiment with the given faults.
 func (c *common) setup(faults []string) bench.Setup {
 	return bench.Setup{Deployment: c.Deployment, Nodes: c.Nodes, Seed: c.Seed, Faults: faults, Verbose: c.Verbose}
 }
--- a/cmd/olivebench/config.go
+++ b/cmd/olivebench/config.go
@@ -8,7 +8,7 @@
 	"olivetiller/standin/site"
 )
 
-// printConfig prints a configuration for a shape, to be published or edited.
+// printConfig prints the configuration of a shape as JSON, to be edited or published.
 func printConfig(shape site.Shape) error {
 	text, err := protojson.MarshalOptions{Multiline: true}.Marshal(shape.Config())
 	if err != nil {
--- a/cmd/olivebench/days.go
+++ b/cmd/olivebench/days.go
@@ -8,13 +8,13 @@
 	"olivetiller/platform/days"
 )
 
-// daysCmd writes days of disruptions for the users' bench.
+// daysCmd writes files with days of disruptions for the users' bench.
 type daysCmd struct {
-	Site string `required:"" type:"existingfile" help:"The deployment's site file."`
-	Out  string `required:"" type:"path" help:"The folder to write the day files to."`
-	Mode string `default:"single" enum:"single,mix" help:"single: each kind and variant alone, early and late. mix: several drawn together."`
-	Seed uint64 `default:"1" help:"Seeds the days."`
-	Days int    `default:"40" help:"How many days a mix has."`
+	Site string `required:"" type:"existingfile" help:"Site file of the deployment."`
+	Out  string `required:"" type:"path" help:"Folder to write the day files to."`
+	Mode string `default:"single" enum:"single,mix" help:"single: days with one disruption each, of every kind and variant, early and late. mix: days with several random disruptions."`
+	Seed uint64 `default:"1" help:"Seed of the days."`
+	Days int    `default:"40" help:"Number of days in mode mix."`
 }
 
 // Run implements the command.
--- a/cmd/olivebench/deployments.go
+++ b/cmd/olivebench/deployments.go
@@ -8,13 +8,13 @@
 	"olivetiller/platform/days"
 )
 
-// deploymentsCmd writes deployments that no site file has, with days of disruptions.
+// deploymentsCmd generates random deployments from site files, each with days of disruptions.
 type deploymentsCmd struct {
-	Site  []string `required:"" type:"existingfile" help:"Site files; each draw begins with the next of them."`
-	Out   string   `required:"" type:"path" help:"The folder to write a folder for each deployment to."`
-	Seed  uint64   `default:"1" help:"Seeds the draws."`
-	Count int      `default:"10" help:"How many deployments are drawn."`
-	Days  int      `default:"3" help:"How many days of drawn disruptions each has."`
+	Site  []string `required:"" type:"existingfile" help:"Site files to start from; the deployments use them in turn."`
+	Out   string   `required:"" type:"path" help:"Folder in which each deployment gets a folder of its own."`
+	Seed  uint64   `default:"1" help:"Seed of the deployments and days."`
+	Count int      `default:"10" help:"Number of deployments."`
+	Days  int      `default:"3" help:"Number of days of random disruptions for each deployment."`
 }
 
 // Run implements the command.
@@ -29,10 +29,10 @@
 	return nil
 }
 
-// wireFile lies beside each site file and names what is spoken.
-const wireFile = "wire.json"
+// wireConfigFile is the file beside each site file with the names used on the wire.
+const wireConfigFile = "wire.json"
 
-// write draws one deployment and its days into a folder.
+// write generates one deployment with its days and writes them to a folder.
 func (c *deploymentsCmd) write(from, folder string, seed uint64) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
@@ -45,7 +45,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", from, err)
 	}
-	wire, err := os.ReadFile(filepath.Join(filepath.Dir(from), wireFile))
+	wire, err := os.ReadFile(filepath.Join(filepath.Dir(from), wireConfigFile))
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	if err := os.WriteFile(site, []byte(text), 0o644); err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(folder, wireFile), wire, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, wireConfigFile), wire, 0o644); err != nil {
 		return err
 	}
 	d := daysCmd{Site: site, Out: folder, Mode: "mix", Seed: seed, Days: c.Days}
--- a/cmd/olivebench/forecast.go
+++ b/cmd/olivebench/forecast.go
@@ -7,9 +7,9 @@
 	"olivetiller/internal/forecast"
 )
 
-// forecastCmd tells from the nodes' logs how good the forecasts of loads are.
+// forecastCmd evaluates the nodes' forecasts of load times from their logs and prints a table.
 type forecastCmd struct {
-	Log string `arg:"" optional:"" type:"existingfile" help:"The logs of all nodes in one file; standard input if left out."`
+	Log string `arg:"" optional:"" type:"existingfile" help:"File with the logs of all nodes (default: standard input)."`
 }
 
 // Run implements the command.
--- a/cmd/olivebench/model.go
+++ b/cmd/olivebench/model.go
@@ -8,15 +8,16 @@
 	"olivetiller/internal/modelcheck"
 )
 
-// modelCmd explores the small protocols exhaustively.
+// modelCmd explores models of the protocols exhaustively and prints the number of states and any
+// violation.
 type modelCmd struct {
-	Protocol  string `default:"all" enum:"all,placement,claims,publish,snapshots" help:"The protocol to explore."`
-	Units     string `default:"xy" help:"Placement: the units, one letter each."`
-	Loads     int    `default:"2" help:"Placement: how many loads are proposed."`
-	Takeovers int    `default:"1" help:"Placement: how many takeovers."`
-	Unloads   int    `default:"1" help:"Placement: how many unloads."`
-	Retries   int    `default:"0" help:"Placement: how many orders get no answer at first."`
-	Cleanups  int    `default:"1" help:"Placement: how many quarantines are taken over."`
+	Protocol  string `default:"all" enum:"all,placement,claims,publish,snapshots" help:"Protocol to explore."`
+	Units     string `default:"xy" help:"Placement: units, one letter each."`
+	Loads     int    `default:"2" help:"Placement: maximum number of proposed loads."`
+	Takeovers int    `default:"1" help:"Placement: maximum number of takeovers."`
+	Unloads   int    `default:"1" help:"Placement: maximum number of proposed unloads."`
+	Retries   int    `default:"0" help:"Placement: maximum number of orders that get no answer at first."`
+	Cleanups  int    `default:"1" help:"Placement: maximum number of takeovers that end a quarantine."`
 }
 
 // Run implements the command.
@@ -24,7 +25,7 @@
 	bounds := modelcheck.Bounds{
 		Units: c.Units, Loads: c.Loads, Takeovers: c.Takeovers, Unloads: c.Unloads, Retries: c.Retries, Cleanups: c.Cleanups,
 	}
-	var broken []string
+	var violated []string
 	for _, run := range []struct {
 		protocol, name string
 		explore        func() (explore.Report, error)
@@ -52,16 +53,17 @@
 		}
 		fmt.Printf("%-28s %8d states %9d steps  %s\n", run.name, r.States, r.Steps, verdict(r))
 		if r.Violation != nil {
-			broken = append(broken, run.name)
+			violated = append(violated, run.name)
 			fmt.Println("  " + strings.Join(r.Trace, "\n  "))
 		}
 	}
-	if len(broken) > 0 {
+	if len(violated) > 0 {
 		return errViolations
 	}
 	return nil
 }
 
+// verdict describes whether an exploration found a violation.
 func verdict(r explore.Report) string {
 	if r.Violation != nil {
 		return "violation: " + r.Violation.Error()
--- a/cmd/olivebench/once.go
+++ b/cmd/olivebench/once.go
@@ -6,12 +6,12 @@
 	"olivetiller/internal/bench"
 )
 
-// onceCmd sends requests that may not be repeated.
+// onceCmd sends requests that must not run twice, each through two nodes.
 type onceCmd struct {
 	common
-	Requests  int           `default:"1000" help:"How many different requests."`
-	PerSecond float64       `default:"200" help:"How many arrive a second."`
-	Timeout   time.Duration `default:"10s" help:"The time each caller allows."`
+	Requests  int           `default:"1000" help:"Number of different requests."`
+	PerSecond float64       `default:"200" help:"Arrival rate, in requests per second."`
+	Timeout   time.Duration `default:"10s" help:"Time that each caller allows."`
 }
 
 // Run implements the command.
@@ -26,5 +26,5 @@
 	if err != nil {
 		return err
 	}
-	return show(r, r.Violations)
+	return printResult(r, r.Violations)
 }
--- a/cmd/olivebench/policy.go
+++ b/cmd/olivebench/policy.go
@@ -8,15 +8,15 @@
 	"olivetiller/internal/policylab"
 )
 
-// policyCmd runs the policies in virtual time.
+// policyCmd compares policies for keeping models loaded, in virtual time.
 type policyCmd struct {
-	Deployment string `default:"krautwerk" enum:"krautwerk,suva" help:"The deployment's demand."`
-	Days       int    `default:"7" help:"How many days."`
-	Seed       uint64 `default:"1" help:"Seeds the demand."`
-	Faults     bool   `help:"Add an hour of a log outage and three of a slow weight store."`
-	Ablate     bool   `help:"Compare the product's policy with itself, a part less each time."`
-	Plot       string `type:"path" help:"Also draw the frontier of the two measures into FILE.svg and FILE.png."`
-	JSON       bool   `name:"json" help:"Print the results as JSON."`
+	Deployment string `default:"krautwerk" enum:"krautwerk,suva" help:"Deployment whose demand is generated."`
+	Days       int    `default:"7" help:"Length of the demand, in days."`
+	Seed       uint64 `default:"1" help:"Seed of the demand."`
+	Faults     bool   `help:"Add a log outage of one hour and a slow weight store for three hours."`
+	Ablate     bool   `help:"Compare the product's policy with variants of it that each lack one part."`
+	Plot       string `type:"path" help:"Also plot idle hours against cold-start waits into FILE.svg and FILE.png."`
+	JSON       bool   `name:"json" help:"Print the results as JSON instead of a table."`
 }
 
 // Run implements the command.
@@ -29,7 +29,7 @@
 		}
 	}
 	if c.JSON {
-		return show(results, nil)
+		return printResult(results, nil)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "POLICY\tREQUESTS\tREFUSED\tCOLD\tWAIT P95\tWAIT P99\tP99.9\tCOLD P50\tCOLD P99\tCOLD S\tIDLE H\tIDLE H BY MEMORY\tLOADS/H\tTIB MOVED")
--- a/cmd/olivebench/quarantine.go
+++ b/cmd/olivebench/quarantine.go
@@ -10,30 +10,31 @@
 	"olivetiller/internal/quarantinelab"
 )
 
-// quarantineCmd plays requests that end engines in virtual time.
+// quarantineCmd simulates requests that crash engines, with and without the quarantine, in virtual
+// time.
 type quarantineCmd struct {
-	Nodes      int           `default:"6" help:"How many nodes there are."`
-	Engines    int           `default:"9" help:"How many engines there are."`
-	Rate       float64       `default:"40" help:"How many proper requests come a second."`
-	Duration   time.Duration `default:"90s" help:"How long one run is, in virtual time."`
-	Deadly     int           `default:"3" help:"How many requests end engines, in series one after the other."`
-	Repeat     time.Duration `default:"1s" help:"After which time, on the mean, such a request comes again."`
-	Crash      time.Duration `default:"80ms" help:"How long an engine takes to end under one."`
-	Outside    float64       `default:"0.2" help:"The share of the engines that end for other reasons."`
-	Rack       int           `default:"1" help:"How many of these end together."`
-	HolderLost int           `default:"0" help:"How often the node that unites what all know is lost."`
-	Frozen     int           `default:"0" help:"How many nodes stand still for four seconds."`
-	Replaced   int           `default:"0" help:"How many nodes are replaced."`
-	Drop       float64       `default:"0" help:"The share of messages between nodes that are lost."`
-	Seeds      int           `default:"40" help:"How many runs, with seeds 1, 2 and so on."`
-	JSON       bool          `name:"json" help:"Print all results as JSON."`
+	Nodes      int           `default:"6" help:"Number of nodes."`
+	Engines    int           `default:"9" help:"Number of engines."`
+	Rate       float64       `default:"40" help:"Arrival rate of harmless requests, per second."`
+	Duration   time.Duration `default:"90s" help:"Length of a run, in virtual time."`
+	Deadly     int           `default:"3" help:"Number of requests that crash engines, sent in one series after the other."`
+	Repeat     time.Duration `default:"1s" help:"Mean time after which such a request is sent again."`
+	Crash      time.Duration `default:"80ms" help:"Time until an engine that runs such a request crashes."`
+	Outside    float64       `default:"0.2" help:"Share of the engines that crash for other reasons."`
+	Rack       int           `default:"1" help:"Number of these engines that crash at the same moment."`
+	HolderLost int           `default:"0" help:"Number of times that the lease holder, which merges the suspicions of all nodes, is lost."`
+	Frozen     int           `default:"0" help:"Number of pauses of a node, of four seconds each."`
+	Replaced   int           `default:"0" help:"Number of nodes that are replaced by new ones."`
+	Drop       float64       `default:"0" help:"Share of the messages between nodes that are lost, from 0 to 1."`
+	Seeds      int           `default:"40" help:"Number of runs, with seeds 1, 2 and so on."`
+	JSON       bool          `name:"json" help:"Print all results as JSON instead of a table."`
 }
 
 // Run implements the command.
 func (c *quarantineCmd) Run() error {
 	with, without := c.play(false), c.play(true)
 	if c.JSON {
-		return show(map[string][]quarantinelab.Result{"with": with, "without": without}, nil)
+		return printResult(map[string][]quarantinelab.Result{"with": with, "without": without}, nil)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "QUARANTINE\tENDS P50\tP90\tMOST\tUNTIL VERDICT P50\tP90\tMOST\tLATE MOST\tPROPER\tSERVED\tREFUSED\tEVERYWHERE P50\tMOST\tBYTES/NODE/S")
@@ -42,6 +43,7 @@
 	return w.Flush()
 }
 
+// play runs the simulation once for each seed, with the quarantine or without it.
 func (c *quarantineCmd) play(off bool) []quarantinelab.Result {
 	var out []quarantinelab.Result
 	for seed := range c.Seeds {
@@ -54,7 +56,7 @@
 	return out
 }
 
-// row prints what the runs came to.
+// row prints a table row with the figures of all runs.
 func (c *quarantineCmd) row(w *tabwriter.Writer, name string, results []quarantinelab.Result) {
 	var ends, before, late []int
 	var everywhere []time.Duration
@@ -67,12 +69,12 @@
 	slices.Sort(before)
 	slices.Sort(everywhere)
 	seconds := float64(len(results)) * c.Duration.Seconds() * float64(c.Nodes)
-	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%v\t%v\t%.0f\n", name, at(ends, 50), at(ends, 90), at(ends, 100),
-		at(before, 50), at(before, 90), at(before, 100), slices.Max(late), sum.Proper, float64(sum.Served)/float64(max(1, sum.Proper)), sum.Bystanders,
-		at(everywhere, 50).Round(time.Millisecond), at(everywhere, 100).Round(time.Millisecond), float64(sum.Bytes)/seconds)
+	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%v\t%v\t%.0f\n", name, percentile(ends, 50), percentile(ends, 90), percentile(ends, 100),
+		percentile(before, 50), percentile(before, 90), percentile(before, 100), slices.Max(late), sum.Proper, float64(sum.Served)/float64(max(1, sum.Proper)), sum.Bystanders,
+		percentile(everywhere, 50).Round(time.Millisecond), percentile(everywhere, 100).Round(time.Millisecond), float64(sum.Bytes)/seconds)
 }
 
-// at returns a percentile of sorted values.
-func at[T any](sorted []T, percent int) T {
+// percentile returns the given percentile of sorted values.
+func percentile[T any](sorted []T, percent int) T {
 	return sorted[min(len(sorted)-1, len(sorted)*percent/100)]
 }
--- a/cmd/olivebench/quota.go
+++ b/cmd/olivebench/quota.go
@@ -9,12 +9,12 @@
 	"olivetiller/internal/quotalab"
 )
 
-// quotaCmd plays designs of limits over nodes in virtual time.
+// quotaCmd simulates designs of keeping limits over several nodes, in virtual time.
 type quotaCmd struct {
-	Seeds int           `default:"3" help:"How many seeds each load is played with; the worst counts."`
-	For   time.Duration `default:"34s" help:"How long a load lasts."`
-	Plot  string        `type:"path" help:"Also draw what is refused beneath the limit into FILE.svg and FILE.png."`
-	JSON  bool          `name:"json" help:"Print the results as JSON."`
+	Seeds int           `default:"3" help:"Number of seeds for each load; the worst figures are printed."`
+	For   time.Duration `default:"34s" help:"Length of a load, in virtual time."`
+	Plot  string        `type:"path" help:"Also plot the share of tokens refused within the limit into FILE.svg and FILE.png."`
+	JSON  bool          `name:"json" help:"Print the results as JSON instead of a table."`
 }
 
 // Run implements the command.
@@ -26,7 +26,7 @@
 		}
 	}
 	if c.JSON {
-		return show(results, nil)
+		return printResult(results, nil)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "LOAD\tNODES\tDESIGN\tOVER\tWORST WINDOW\tREFUSED BENEATH\tQUESTIONS/S")
--- a/cmd/olivebench/rounds.go
+++ b/cmd/olivebench/rounds.go
@@ -10,24 +10,24 @@
 	"olivetiller/platform/rounds"
 )
 
-// playedDays are the flags that say which days are played.
-type playedDays struct {
-	Bench   string   `required:"" type:"existingfile" env:"OLIVEBENCH_BENCH" help:"The users' bench."`
-	Site    string   `required:"" type:"existingfile" help:"The deployment's site file."`
-	Days    []string `help:"Names of standard days, or files of days; all standard days if left out."`
-	Trouble bool     `help:"Leave the quiet days out."`
-	Seeds   uint64   `default:"4" help:"How many seeds each day is played with."`
-	First   uint64   `default:"1" help:"The first seed."`
-	Base    string   `default:"HEAD" help:"The revision to compare with."`
-	Jobs    int      `default:"3" help:"How many days are played at once."`
-	Why     string   `required:"" help:"The reason, for the journal."`
+// dayFlags holds the flags that select which days of the users' bench are run, and how.
+type dayFlags struct {
+	Bench   string   `required:"" type:"existingfile" env:"OLIVEBENCH_BENCH" help:"Program of the users' bench."`
+	Site    string   `required:"" type:"existingfile" help:"Site file of the deployment."`
+	Days    []string `help:"Names of standard days, or day files (default: all standard days)."`
+	Trouble bool     `help:"Leave out days whose names begin with quiet."`
+	Seeds   uint64   `default:"4" help:"Number of seeds for each day."`
+	First   uint64   `default:"1" help:"First seed."`
+	Base    string   `default:"HEAD" help:"Revision to compare with."`
+	Jobs    int      `default:"3" help:"Number of days run concurrently."`
+	Why     string   `required:"" help:"Reason for the runs, for the journal."`
 }
 
-// roundsCmd compares two revisions by days of the users' bench.
+// roundsCmd compares two revisions by running days of the users' bench on both.
 type roundsCmd struct {
-	playedDays `embed:""`
-	Change     string `default:"." help:"The revision that is compared; \".\" is the folder as it stands."`
-	Plots      string `type:"path" help:"A folder for plots of the credit over each day; none if left out."`
+	dayFlags `embed:""`
+	Change   string `default:"." help:"Revision to compare."`
+	Plots    string `type:"path" help:"Folder for plots of the credit over each day (default: no plots)."`
 }
 
 // Run implements the command.
@@ -52,15 +52,16 @@
 			return err
 		}
 	}
-	// The table first: runs take minutes, and must not be lost for a plot.
+	// The table is printed before the plots are drawn: the runs take minutes, and a failing plot
+	// must not lose their results.
 	if err := rounds.Compare(runs, c.Base, c.Change, site).Write(os.Stdout, c.Base, c.Change); err != nil {
 		return err
 	}
 	return c.plot(round, runs)
 }
 
-// round makes the plan of what is played.
-func (c *playedDays) round(site *rounds.Site) (*rounds.Round, error) {
+// round returns the days, seeds and settings to run.
+func (c *dayFlags) round(site *rounds.Site) (*rounds.Round, error) {
 	path, err := filepath.Abs(c.Site)
 	if err != nil {
 		return nil, err
@@ -77,7 +78,7 @@
 	if len(days) == 0 {
 		days = site.Days
 	}
-	r := &rounds.Round{Bench: bench, Site: path, Jobs: c.Jobs, Why: c.Why, Scratch: scratch, Played: played}
+	r := &rounds.Round{Bench: bench, Site: path, Jobs: c.Jobs, Why: c.Why, Scratch: scratch, Played: reportRun}
 	for _, d := range days {
 		if !c.Trouble || !strings.HasPrefix(d, "quiet") {
 			r.Days = append(r.Days, d)
@@ -89,7 +90,7 @@
 	return r, nil
 }
 
-// revisions checks out and builds what is compared.
+// revisions checks out and builds the revisions to compare.
 func (c *roundsCmd) revisions(ctx context.Context, round *rounds.Round) ([]*rounds.Revision, error) {
 	names := []string{c.Base}
 	if c.Change != c.Base {
@@ -109,6 +110,7 @@
 	return out, nil
 }
 
+// plot draws a plot for each day, if a folder is given.
 func (c *roundsCmd) plot(round *rounds.Round, runs []rounds.Run) error {
 	if c.Plots == "" {
 		return nil
@@ -122,8 +124,8 @@
 	return nil
 }
 
-// played prints a line for a run.
-func played(r rounds.Run) {
+// reportRun prints the result of a run, or its error, to standard error.
+func reportRun(r rounds.Run) {
 	if r.Err != nil {
 		fmt.Fprintf(os.Stderr, "%s %s seed %d: %v\n", r.Revision, r.Day, r.Seed, r.Err)
 		return
--- a/cmd/olivebench/slopes.go
+++ b/cmd/olivebench/slopes.go
@@ -9,13 +9,14 @@
 	"olivetiller/internal/bench"
 )
 
-// slopesCmd measures the slopes behind docs/CAPACITY.md.
+// slopesCmd measures how the cost of the main operations grows with the size of the deployment, as
+// used in docs/CAPACITY.md.
 type slopesCmd struct {
 	Fleet   []int         `default:"7,15,30,60" help:"Numbers of in-process nodes to measure; 0 for none."`
-	Settle  time.Duration `default:"6s" help:"How long each fleet settles, and again is watched."`
-	JSON    bool          `name:"json" help:"Print the result as JSON."`
-	Limit   time.Duration `default:"5m" help:"Gives up after this long."`
-	Verbose bool          `help:"Log what the nodes do."`
+	Settle  time.Duration `default:"6s" help:"Time for which each fleet settles, and is then measured."`
+	JSON    bool          `name:"json" help:"Print the result as JSON instead of a table."`
+	Limit   time.Duration `default:"5m" help:"Time after which the experiment is aborted."`
+	Verbose bool          `help:"Log what the nodes do, to standard error."`
 }
 
 // Run implements the command.
@@ -33,7 +34,7 @@
 		return err
 	}
 	if c.JSON {
-		return show(r, nil)
+		return printResult(r, nil)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SLOPE\tBASE\tPER X\tX\tY\tR2\tWORST ERROR\tPOINTS")
--- a/cmd/olivebench/soak.go
+++ b/cmd/olivebench/soak.go
@@ -9,16 +9,17 @@
 	"olivetiller/platform/soak"
 )
 
-// soakCmd runs the real program under faults.
+// soakCmd runs the olivetiller program as several processes under faults, and checks what callers
+// and endpoints see.
 type soakCmd struct {
-	Program string        `required:"" type:"existingfile" help:"The olivetiller program to run."`
-	Dir     string        `required:"" type:"path" help:"The folder for settings and logs; those of seeds that find nothing are removed."`
-	Seed    uint64        `default:"1" help:"The first seed."`
-	Seeds   int           `default:"1" help:"How many seeds to run, one after another."`
-	Nodes   int           `default:"3" help:"How many nodes run."`
-	For     time.Duration `default:"8s" help:"How long faults are injected."`
-	// Regressions adds the seeds that ever failed.
-	Regressions bool `help:"Also run the seeds that ever failed."`
+	Program string        `required:"" type:"existingfile" help:"Path of the olivetiller program."`
+	Dir     string        `required:"" type:"path" help:"Folder for settings and logs; those of seeds without violations are removed."`
+	Seed    uint64        `default:"1" help:"First seed."`
+	Seeds   int           `default:"1" help:"Number of seeds, run one after the other."`
+	Nodes   int           `default:"3" help:"Number of nodes."`
+	For     time.Duration `default:"8s" help:"Time for which faults are injected."`
+	// Regressions adds the seeds in soak.Regressions.
+	Regressions bool `help:"Also run the recorded seeds that once failed."`
 }
 
 // Run implements the command.
--- a/cmd/olivebench/standin.go
+++ b/cmd/olivebench/standin.go
@@ -12,14 +12,14 @@
 	"olivetiller/standin/site"
 )
 
-// standinCmd runs the stand-ins as one plain process.
+// standinCmd runs the stand-ins of a deployment as one process until SIGTERM or SIGINT.
 type standinCmd struct {
-	Settings string `required:"" type:"path" help:"The stand-ins' settings file, INI."`
-	Print    bool   `help:"Print every setting and end."`
-	Config   bool   `help:"Print a configuration for the deployment, as JSON, and end."`
+	Settings string `required:"" type:"path" help:"Settings file of the stand-ins, in INI format."`
+	Print    bool   `help:"Print every setting and exit."`
+	Config   bool   `help:"Print a configuration for the deployment as JSON and exit."`
 }
 
-// standinSettings are the settings of the stand-ins.
+// standinSettings holds the settings of the stand-ins.
 type standinSettings struct {
 	deployment string
 	addresses  site.Addresses
@@ -30,6 +30,7 @@
 	seed       uint64
 }
 
+// table returns the settings with their sections, defaults and help texts.
 func (s *standinSettings) table() settings.Table {
 	return settings.Table{
 		{Section: "standin", Key: "deployment", Default: "krautwerk", Help: "the deployment's shape: krautwerk or suva", Set: settings.Choice(&s.deployment, "krautwerk", "suva")},
@@ -79,6 +80,7 @@
 	return nil
 }
 
+// addNodes adds the nodes of a comma-separated list of name=peerAddress=dataHall to the instance list.
 func addNodes(st *site.Site, list string) error {
 	if list == "" {
 		return nil
@@ -86,7 +88,7 @@
 	for _, entry := range strings.Split(list, ",") {
 		f := strings.Split(strings.TrimSpace(entry), "=")
 		if len(f) != 3 {
-			return fmt.Errorf("standin.nodes: %q is not name=peerAddress=dataHall", entry)
+			return fmt.Errorf("standin.nodes: %q does not have the form name=peerAddress=dataHall", entry)
 		}
 		st.AddNode(f[0], f[1], f[2])
 	}
