--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,8 @@
-// Package demo runs both deployments' shapes, one after the other, with seven
-// nodes each against the stand-ins, exercises the promises of the brief and
-// prints what came of it.
+// Package demo demonstrates the guarantees of the system. It runs the shapes of both deployments
+// one after the other, each with seven nodes in this process against the stand-ins of the platform
+// and the engines, and prints a table of figures. The phases of a run are a burst of requests for
+// models that are not loaded, requests that must not run more than once, and a planned stop of a
+// node that is streaming.
 package demo
 
 import (
@@ -23,41 +25,43 @@
 	"olivetiller/standin/site"
 )
 
-// Options set a demo.
+// Options are the options of a demo.
 type Options struct {
-	Seed    uint64
+	Seed uint64
+	// Verbose logs what the nodes do to standard error.
 	Verbose bool
 }
 
 // Sizes of the demo.
 const (
-	nodes       = 7
-	coldModels  = 6
-	perModel    = 2 // requests a model and node
-	onceKeys    = 20
-	tokens      = 24
-	askTimeout  = 15 * time.Second
-	stopStreams = 14
+	nodes            = 7
+	coldModels       = 6
+	requestsPerModel = 2 // requests for each model at each node
+	onceKeys         = 20
+	tokens           = 24
+	askTimeout       = 15 * time.Second
+	streamsAtStop    = 14
 )
 
-// report is what one deployment's run showed.
+// report holds the figures and violations of one deployment's run.
 type report struct {
-	name             string
-	p50, p99         time.Duration
-	decided, loaded  int
-	asked, whole     int
-	refused          int
-	doubles, lost    int
-	cutOff           int
-	spread           time.Duration
-	onceAsked        int
-	broken           []string
-	samplesColdStart []time.Duration
+	name string
+	// p50 and p99 are quantiles of coldStarts.
+	p50, p99            time.Duration
+	decided, loaded     int
+	sent, whole         int
+	refused             int
+	duplicateRuns, lost int
+	cutOff              int
+	publishTime         time.Duration
+	onceSent            int
+	violations          []string
+	coldStarts          []time.Duration
 }
 
-// Run runs the demo and returns the broken promises.
+// Run runs the demo, prints its table to out and returns the violations found.
 func Run(ctx context.Context, out io.Writer, o Options) ([]string, error) {
-	var broken []string
+	var violations []string
 	var reports []*report
 	for _, shape := range []site.Shape{site.Krautwerk(), site.Suva()} {
 		shape.Seed = o.Seed
@@ -66,20 +70,21 @@
 			return nil, err
 		}
 		reports = append(reports, r)
-		for _, b := range r.broken {
-			broken = append(broken, r.name+": "+b)
+		for _, b := range r.violations {
+			violations = append(violations, r.name+": "+b)
 		}
 	}
-	print(out, reports)
-	for _, b := range broken {
+	writeTable(out, reports)
+	for _, b := range violations {
 		fmt.Fprintln(out, "demo: broken promise:", b)
 	}
-	if len(broken) == 0 {
+	if len(violations) == 0 {
 		fmt.Fprintln(out, "demo: ok")
 	}
-	return broken, nil
+	return violations, nil
 }
 
+// runShape runs the demo on one deployment.
 func runShape(ctx context.Context, shape site.Shape, o Options) (*report, error) {
 	level := hclog.Off
 	if o.Verbose {
@@ -109,11 +114,12 @@
 	if err := r.plannedStop(ctx, f); err != nil {
 		return nil, err
 	}
-	r.judge(f)
+	r.checkLoads(f)
 	return r, nil
 }
 
-// publish publishes the configuration through one node and waits for all.
+// publish publishes the configuration through one node, waits until all nodes use it, and records
+// how long that took.
 func (r *report) publish(ctx context.Context, f *fleet.Fleet) error {
 	if err := f.AwaitReady(ctx); err != nil {
 		return err
@@ -126,17 +132,17 @@
 	if err := f.AwaitRevision(ctx, revision); err != nil {
 		return err
 	}
-	r.spread = time.Since(begin)
+	r.publishTime = time.Since(begin)
 	return f.AwaitEngines(ctx)
 }
 
-// coldBurst asks every node for the same cold models at the same moment.
+// coldBurst sends requests for the same models that are not loaded to every node at once.
 func (r *report) coldBurst(ctx context.Context, f *fleet.Fleet) {
 	c := client.New("curator")
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, n := range f.Nodes() {
-		for m := range coldModels * perModel {
+		for m := range coldModels * requestsPerModel {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
@@ -148,15 +154,15 @@
 				res := c.Complete(ctx, n.CallerAddress(), ask)
 				mu.Lock()
 				defer mu.Unlock()
-				r.count(res)
-				r.samplesColdStart = append(r.samplesColdStart, res.Took)
+				r.record(res)
+				r.coldStarts = append(r.coldStarts, res.Took)
 			}()
 		}
 	}
 	wg.Wait()
-	sort.Slice(r.samplesColdStart, func(i, j int) bool { return r.samplesColdStart[i] < r.samplesColdStart[j] })
-	r.p50 = quantile(r.samplesColdStart, 0.50)
-	r.p99 = quantile(r.samplesColdStart, 0.99)
+	sort.Slice(r.coldStarts, func(i, j int) bool { return r.coldStarts[i] < r.coldStarts[j] })
+	r.p50 = quantile(r.coldStarts, 0.50)
+	r.p99 = quantile(r.coldStarts, 0.99)
 }
 
 func quantile(sorted []time.Duration, q float64) time.Duration {
@@ -166,9 +172,9 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// count judges one answer: whole, or a typed refusal; anything else is lost.
-func (r *report) count(res client.Result) {
-	r.asked++
+// record counts a result as a complete answer or a typed refusal; anything else is a violation.
+func (r *report) record(res client.Result) {
+	r.sent++
 	switch {
 	case res.Whole:
 		r.whole++
@@ -176,11 +182,12 @@
 		r.refused++
 	default:
 		r.lost++
-		r.broken = append(r.broken, fmt.Sprintf("a request got neither its whole answer nor a refusal: status %d, %s, %v", res.Status, res.Wrong, res.Err))
+		r.violations = append(r.violations, fmt.Sprintf("a request got neither its whole answer nor a refusal: status %d, %s, %v", res.Status, res.Wrong, res.Err))
 	}
 }
 
-// onceOnly sends each request that may not be repeated through two nodes at once.
+// onceOnly sends each of several requests that must not run more than once through two nodes at
+// once.
 func (r *report) onceOnly(ctx context.Context, f *fleet.Fleet) {
 	c := client.New("clerk")
 	list := f.Nodes()
@@ -198,8 +205,8 @@
 				res := c.Call(ctx, n.CallerAddress(), svc, "/new", askTimeout, key, body)
 				mu.Lock()
 				defer mu.Unlock()
-				r.onceAsked++
-				r.count(res)
+				r.onceSent++
+				r.record(res)
 				r.checkOnce(f, svc, key, body, res)
 			}()
 		}
@@ -207,26 +214,27 @@
 	wg.Wait()
 }
 
+// checkOnce compares the result of a once-only request with the records of the service.
 func (r *report) checkOnce(f *fleet.Fleet, svc, key string, body []byte, res client.Result) {
 	runs := f.Site.Runs(svc, key)
 	if runs > 1 {
-		r.doubles++
+		r.duplicateRuns++
 	}
 	if res.Whole && string(res.Body) != service.Answer(key, body) {
-		r.broken = append(r.broken, "a caller got an answer that is not its own")
+		r.violations = append(r.violations, "a caller got an answer that is not its own")
 	}
 	if res.Refused() && res.Refusal.NotRun && runs > 0 {
-		r.broken = append(r.broken, `a refusal said "not run" of a request that ran`)
+		r.violations = append(r.violations, `a refusal said "not run" of a request that ran`)
 	}
 }
 
-// plannedStop stops a node while it streams.
+// plannedStop stops a node while it streams answers, all of which must complete.
 func (r *report) plannedStop(ctx context.Context, f *fleet.Fleet) error {
 	n := f.Node("node-7")
 	c := client.New("museum")
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for i := range stopStreams {
+	for i := range streamsAtStop {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -234,7 +242,7 @@
 			res := c.Complete(ctx, n.CallerAddress(), ask)
 			mu.Lock()
 			defer mu.Unlock()
-			r.count(res)
+			r.record(res)
 			if !res.Whole {
 				r.cutOff++
 			}
@@ -246,34 +254,36 @@
 	return err
 }
 
-// awaitActive waits until the streams have begun.
+// awaitActive waits until all streams have started at the node.
 func awaitActive(ctx context.Context, n *entry.Node) {
-	for n.Caller.Active() < stopStreams && ctx.Err() == nil {
+	for n.Caller.Active() < streamsAtStop && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// judge compares what was decided with what the engines saw.
-func (r *report) judge(f *fleet.Fleet) {
+// checkLoads compares the decided loads with those that took effect at the engines, and adds
+// violations for overcommitted memory, repeated runs and streams that were cut off.
+func (r *report) checkLoads(f *fleet.Fleet) {
 	for _, n := range f.Nodes() {
 		r.decided = max(r.decided, int(n.Control.Metrics.Decided.Value()))
 	}
 	r.loaded = f.Site.Loads()
 	if r.loaded > r.decided {
-		r.broken = append(r.broken, fmt.Sprintf("%d loads were decided and %d took effect", r.decided, r.loaded))
+		r.violations = append(r.violations, fmt.Sprintf("%d loads were decided and %d took effect", r.decided, r.loaded))
 	}
 	for _, v := range f.Site.Violations() {
-		r.broken = append(r.broken, "an engine's memory was overcommitted: "+v)
+		r.violations = append(r.violations, "an engine's memory was overcommitted: "+v)
 	}
-	if r.doubles > 0 {
-		r.broken = append(r.broken, fmt.Sprintf("%d requests that may not be repeated ran more than once", r.doubles))
+	if r.duplicateRuns > 0 {
+		r.violations = append(r.violations, fmt.Sprintf("%d requests that may not be repeated ran more than once", r.duplicateRuns))
 	}
 	if r.cutOff > 0 {
-		r.broken = append(r.broken, fmt.Sprintf("a planned stop cut off %d requests", r.cutOff))
+		r.violations = append(r.violations, fmt.Sprintf("a planned stop cut off %d requests", r.cutOff))
 	}
 }
 
-func print(out io.Writer, reports []*report) {
+// writeTable writes a table with a column for each deployment.
+func writeTable(out io.Writer, reports []*report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(label string, cell func(*report) string) {
 		fmt.Fprint(w, label)
@@ -283,14 +293,14 @@
 		fmt.Fprintln(w)
 	}
 	row("", func(r *report) string { return r.name })
-	row("configuration in force on 7 nodes after", func(r *report) string { return ms(r.spread) })
+	row("configuration in force on 7 nodes after", func(r *report) string { return ms(r.publishTime) })
 	row("cold start p50", func(r *report) string { return ms(r.p50) })
 	row("cold start p99", func(r *report) string { return ms(r.p99) })
 	row("loads decided / done", func(r *report) string { return fmt.Sprintf("%d / %d", r.decided, r.loaded) })
-	row("answers complete / asked", func(r *report) string { return fmt.Sprintf("%d / %d", r.whole, r.asked) })
+	row("answers complete / asked", func(r *report) string { return fmt.Sprintf("%d / %d", r.whole, r.sent) })
 	row("refused with a reason", func(r *report) string { return fmt.Sprint(r.refused) })
-	row("once-only requests sent twice", func(r *report) string { return fmt.Sprint(r.onceAsked / 2) })
-	row("doubles", func(r *report) string { return fmt.Sprint(r.doubles) })
+	row("once-only requests sent twice", func(r *report) string { return fmt.Sprint(r.onceSent / 2) })
+	row("doubles", func(r *report) string { return fmt.Sprint(r.duplicateRuns) })
 	row("cut off by the planned stop", func(r *report) string { return fmt.Sprint(r.cutOff) })
 	row("lost", func(r *report) string { return fmt.Sprint(r.lost) })
 	_ = w.Flush()
