--- a/internal/policylab/demand.go
+++ b/internal/policylab/demand.go
@@ -66,7 +66,7 @@
 
 // Krautwerk generates the demand of studios and museums: studios in several time zones work during
 // the day on weekdays, a quarter of the models run as nightly batches of museums, and another
-// quarter is used seldom.
+// quarter is used seldom, so that the demand has a long tail.
 func Krautwerk(days int, seed uint64) *Workload {
 	return generate(days, seed, 60, func(i int) class {
 		switch {
--- a/internal/quotalab/simulation.go
+++ b/internal/quotalab/simulation.go
@@ -78,7 +78,8 @@
 	probeEvery   = 200 * time.Millisecond
 	// step is the time resolution of the simulation.
 	step = 10 * time.Millisecond
-	// warmUp is the time from which refusals count, since nodes need to reach the granter first.
+	// warmUp is the time from which refusals count: in a deployment, traffic starts after the
+	// nodes.
 	warmUp = 2 * time.Second
 )
 
