--- /dev/null
+++ b/internal/quarantinelab/simulation.go
@@ -0,0 +1,448 @@
+package quarantinelab
+
+import (
+	"container/heap"
+	"encoding/json"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"olivetiller/core/quarantine"
+	"olivetiller/io/peer"
+)
+
+// epoch is the start of each experiment.
+var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+
+// event is a function due at a virtual time. Events of the same time run in the order in which they
+// were scheduled.
+type event struct {
+	at  time.Duration
+	seq int
+	do  func()
+}
+
+// events is a heap of events; the earliest is on top.
+type events []event
+
+func (e events) Len() int { return len(e) }
+func (e events) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+}
+func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *events) Pop() any {
+	last := (*e)[len(*e)-1]
+	*e = (*e)[:len(*e)-1]
+	return last
+}
+
+// node is one node with its registry and tracker.
+type node struct {
+	index    int
+	registry *quarantine.Registry
+	tracker  *quarantine.Tracker
+	// suspectRuns counts, for each engine, the node's runs of suspected or isolated requests there.
+	suspectRuns map[*engine]int
+	// reportedVersion is the version of the node's registry last reported to the lease holder, and
+	// receivedVersion that of the lease holder's registry last sent to the node.
+	reportedVersion, receivedVersion uint64
+	// reportDue is set while a report to the lease holder is scheduled.
+	reportDue bool
+	// pausedUntil is the time until which the node is paused; healthySince is when it last started
+	// or resumed.
+	pausedUntil, healthySince time.Duration
+	// exchangedVersions holds the version of the node's registry last sent to each other node.
+	exchangedVersions map[*node]uint64
+}
+
+// engine is one engine; incarnation counts its restarts.
+type engine struct {
+	index, incarnation int
+	up                 bool
+	runs               map[*run]bool
+}
+
+func (e *engine) name() string { return fmt.Sprint("e", e.index) }
+
+// request is a request that callers may send several times.
+type request struct {
+	fingerprint quarantine.Fingerprint
+	// deadly is the index among the crashing requests, -1 for a harmless one.
+	deadly int
+	tries  int
+	// avoid lists the engines on which earlier attempts broke.
+	avoid []*engine
+}
+
+// run is one request at one engine, sent by one node. suspect is set if the request was suspected
+// or isolated when it was sent.
+type run struct {
+	r       *request
+	n       *node
+	e       *engine
+	tracked *quarantine.Run
+	attempt int
+	suspect bool
+}
+
+// simulation is the state of a running experiment.
+type simulation struct {
+	cfg     Config
+	rnd     *rand.Rand
+	now     time.Duration
+	seq     int
+	queue   events
+	nodes   []*node
+	engines []*engine
+	// holder is the lease holder, which merges the suspicions of all nodes; nil while there is
+	// none.
+	holder *node
+	// stored holds the verdicts written to the store.
+	stored map[quarantine.Fingerprint]quarantine.Entry
+	deadly []*request
+	// thirdCrashAt is when each crashing request crashed its third engine.
+	thirdCrashAt []time.Duration
+	// verdictAt is when each crashing request was quarantined first, and receivedBy the nodes that
+	// have received its verdict.
+	verdictAt    []time.Duration
+	receivedBy   []map[*node]bool
+	result       Result
+	requestCount int
+}
+
+// Run runs an experiment and returns its figures.
+func Run(cfg Config) Result {
+	s := &simulation{
+		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), stored: make(map[quarantine.Fingerprint]quarantine.Entry),
+		thirdCrashAt: make([]time.Duration, cfg.Deadly), verdictAt: make([]time.Duration, cfg.Deadly), receivedBy: make([]map[*node]bool, cfg.Deadly),
+	}
+	s.result = Result{Ends: make([]int, cfg.Deadly), Before: make([]int, cfg.Deadly), Late: make([]int, cfg.Deadly), Everywhere: make([]time.Duration, cfg.Deadly)}
+	for i := range cfg.Nodes {
+		s.nodes = append(s.nodes, s.newNode(i))
+	}
+	for i := range cfg.Engines {
+		s.engines = append(s.engines, &engine{index: i, up: true, runs: make(map[*run]bool)})
+	}
+	s.setHolder(s.nodes[0])
+	s.schedule()
+	for len(s.queue) > 0 {
+		e := heap.Pop(&s.queue).(event)
+		if e.at > cfg.Duration {
+			break
+		}
+		s.now = e.at
+		e.do()
+	}
+	return s.result
+}
+
+// newNode returns a node with an empty registry and tracker.
+func (s *simulation) newNode(i int) *node {
+	n := &node{
+		index: i, registry: quarantine.NewRegistry(epoch), tracker: quarantine.NewTracker(),
+		suspectRuns: make(map[*engine]int), exchangedVersions: make(map[*node]uint64),
+	}
+	n.registry.SetEngines(s.cfg.Engines)
+	n.registry.SetWhole(false)
+	return n
+}
+
+func (s *simulation) time() time.Time { return epoch.Add(s.now) }
+
+// after schedules do to run after d.
+func (s *simulation) after(d time.Duration, do func()) {
+	s.seq++
+	heap.Push(&s.queue, event{s.now + d, s.seq, do})
+}
+
+// between draws a uniformly distributed time between d and twice d.
+func (s *simulation) between(d time.Duration) time.Duration {
+	return d + time.Duration(s.rnd.Int64N(int64(d)+1))
+}
+
+// exponential draws an exponentially distributed time with mean d.
+func (s *simulation) exponential(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * -math.Log(1-s.rnd.Float64()))
+}
+
+// randomMoment draws a moment between 5% and 95% of the experiment.
+func (s *simulation) randomMoment() time.Duration {
+	return s.cfg.Duration/20 + time.Duration(s.rnd.Int64N(int64(s.cfg.Duration*9/10)))
+}
+
+// schedule schedules the arrivals, the series of crashing requests, and the faults.
+func (s *simulation) schedule() {
+	s.arrive()
+	for i := range s.cfg.Deadly {
+		r := s.newRequest(i)
+		s.deadly = append(s.deadly, r)
+		series := s.cfg.Duration / time.Duration(s.cfg.Deadly)
+		from, to := series*time.Duration(i)+2*time.Second, series*time.Duration(i+1)
+		s.after(from, func() { s.repeat(r, to) })
+	}
+	groups := int(s.cfg.UnrelatedShare*float64(s.cfg.Engines)/float64(max(1, s.cfg.CrashGroup)) + 0.5)
+	for range groups {
+		s.after(s.randomMoment(), s.crashUnrelated)
+	}
+	for range s.cfg.HolderLosses {
+		s.after(s.randomMoment(), s.loseHolder)
+	}
+	for range s.cfg.Pauses {
+		s.after(s.randomMoment(), s.pause)
+	}
+	for range s.cfg.Replacements {
+		s.after(s.randomMoment(), s.replace)
+	}
+	s.after(exchangeInterval, s.exchange)
+}
+
+// newRequest returns a request with a fingerprint of its own; deadly is its index among the crashing
+// requests, or -1.
+func (s *simulation) newRequest(deadly int) *request {
+	s.requestCount++
+	d := quarantine.DigestOf("POST", "h", fmt.Sprint("/", s.requestCount), nil)
+	return &request{fingerprint: quarantine.FingerprintOf("", d), deadly: deadly}
+}
+
+// arrive schedules the next harmless request.
+func (s *simulation) arrive() {
+	s.after(s.exponential(time.Duration(float64(time.Second)/s.cfg.Rate)), func() {
+		s.result.Proper++
+		s.try(s.newRequest(-1))
+		s.arrive()
+	})
+}
+
+// repeat sends a crashing request and schedules its next arrival until the end of its series.
+func (s *simulation) repeat(r *request, until time.Duration) {
+	r.tries, r.avoid = 0, nil
+	s.try(r)
+	if next := s.exponential(s.cfg.RepeatInterval); s.now+next < until {
+		s.after(next, func() { s.repeat(r, until) })
+	}
+}
+
+// try sends one try of a request to a random node.
+func (s *simulation) try(r *request) {
+	r.tries++
+	n := s.nodes[s.rnd.IntN(len(s.nodes))]
+	s.attempt(r, n, 1)
+}
+
+// attempt handles attempt k of a try at a node, after the node resumes if it is paused. The node
+// waits while crashes that concern the request have yet to settle, and refuses the request if it is
+// quarantined.
+func (s *simulation) attempt(r *request, n *node, k int) {
+	if n.pausedUntil > s.now {
+		s.after(n.pausedUntil-s.now, func() { s.attempt(r, n, k) })
+		return
+	}
+	if s.cfg.Disabled {
+		s.send(r, n, k)
+		return
+	}
+	if wait := n.registry.Unsettled(r.fingerprint, s.time()); wait > 0 {
+		s.after(wait, func() { s.attempt(r, n, k) })
+		return
+	}
+	s.decide(n)
+	if _, held := n.registry.Held(r.fingerprint, s.time()); held {
+		if r.deadly < 0 {
+			s.result.Bystanders++
+		}
+		return
+	}
+	s.send(r, n, k)
+}
+
+// send sends a request to the engine that the node chooses for it.
+func (s *simulation) send(r *request, n *node, k int) {
+	state := n.registry.State(r.fingerprint)
+	suspect := state == quarantine.Suspected || state == quarantine.Isolated
+	e := s.choose(r, n, suspect)
+	if e == nil {
+		s.fail(r)
+		return
+	}
+	if r.deadly >= 0 && s.thirdCrashAt[r.deadly] > 0 && s.now > s.thirdCrashAt[r.deadly]+s.cfg.ContactTime && s.now-n.healthySince >= s.cfg.ContactTime {
+		s.result.Late[r.deadly]++
+	}
+	u := &run{r: r, n: n, e: e, attempt: k, suspect: suspect}
+	u.tracked = n.tracker.Send(r.fingerprint, quarantine.Life{Engine: e.name(), Start: int64(e.incarnation + 1)}, s.time())
+	e.runs[u] = true
+	if suspect {
+		n.suspectRuns[e]++
+	}
+	s.after(requestLatency+s.exponential(queueTime), func() { s.begin(u) })
+}
+
+// choose returns the running engine with the least work, nil if there is none. Engines on which the
+// request broke before come last, and suspected requests are kept apart from each other.
+func (s *simulation) choose(r *request, n *node, suspect bool) *engine {
+	var best *engine
+	bestScore := 0
+	for _, e := range s.engines {
+		if !e.up {
+			continue
+		}
+		score := len(e.runs)
+		if slices.Contains(r.avoid, e) {
+			score += 1 << 20
+		}
+		if suspect {
+			score += n.suspectRuns[e]<<12 + int(r.fingerprint[e.index%len(r.fingerprint)]%4)
+		} else {
+			score += 4 * n.suspectRuns[e]
+		}
+		if best == nil || score < bestScore {
+			best, bestScore = e, score
+		}
+	}
+	return best
+}
+
+// begin starts a run at its engine and schedules its answer or the crash.
+func (s *simulation) begin(u *run) {
+	if !u.e.runs[u] {
+		return
+	}
+	u.n.tracker.Begin(u.tracked, s.time())
+	if u.r.deadly >= 0 {
+		s.after(s.between(s.cfg.CrashDelay/2), func() {
+			if u.e.runs[u] {
+				s.crashUnder(u)
+			}
+		})
+		return
+	}
+	s.after(s.exponential(s.cfg.MeanRun), func() {
+		if u.e.runs[u] {
+			s.complete(u)
+		}
+	})
+}
+
+// complete ends a run with an answer.
+func (s *simulation) complete(u *run) {
+	delete(u.e.runs, u)
+	s.releaseSuspect(u)
+	u.n.tracker.Answer(u.tracked, true, s.time())
+	if !s.cfg.Disabled && u.n.registry.Answered(u.r.fingerprint, s.time()) {
+		s.report(u.n)
+	}
+	s.result.Served++
+}
+
+// releaseSuspect removes a run from the count of suspected requests at its engine.
+func (s *simulation) releaseSuspect(u *run) {
+	if u.suspect {
+		u.n.suspectRuns[u.e]--
+	}
+}
+
+// crashUnder crashes an engine that runs a crashing request.
+func (s *simulation) crashUnder(u *run) {
+	d := u.r.deadly
+	s.result.Ends[d]++
+	if s.verdictAt[d] == 0 {
+		s.result.Before[d]++
+	}
+	if s.result.Ends[d] == 3 {
+		s.thirdCrashAt[d] = s.now
+	}
+	s.crash(u.e)
+}
+
+// crashUnrelated crashes a group of random engines for another reason.
+func (s *simulation) crashUnrelated() {
+	for range s.cfg.CrashGroup {
+		if e := s.engines[s.rnd.IntN(len(s.engines))]; e.up {
+			s.result.Outside++
+			s.crash(e)
+		}
+	}
+}
+
+// crash ends an engine with all its runs and schedules its restart.
+func (s *simulation) crash(e *engine) {
+	e.up = false
+	runs := make([]*run, 0, len(e.runs))
+	for u := range e.runs {
+		runs = append(runs, u)
+	}
+	slices.SortFunc(runs, func(a, b *run) int { return slices.Compare(a.r.fingerprint[:], b.r.fingerprint[:]) })
+	e.runs = make(map[*run]bool)
+	incarnation := quarantine.Life{Engine: e.name(), Start: int64(e.incarnation + 1)}
+	for _, u := range runs {
+		s.releaseSuspect(u)
+		s.after(s.between(detectionTime), func() { s.connectionBroken(u, incarnation) })
+	}
+	e.incarnation++
+	s.after(s.cfg.RestartTime, func() { e.up = true })
+}
+
+// connectionBroken is called when a node notices that its connection for a run broke because the
+// engine crashed. The node records the suspicion and makes the next attempt, if one is left.
+func (s *simulation) connectionBroken(u *run, incarnation quarantine.Life) {
+	if u.n.pausedUntil > s.now {
+		s.after(u.n.pausedUntil-s.now, func() { s.connectionBroken(u, incarnation) })
+		return
+	}
+	if !s.cfg.Disabled {
+		s.suspect(u, incarnation)
+	}
+	if u.attempt < s.cfg.Attempts {
+		u.r.avoid = append(u.r.avoid, u.e)
+		s.attempt(u.r, u.n, u.attempt+1)
+		return
+	}
+	s.fail(u.r)
+}
+
+// suspect records suspicions of a crash in the node's registry: of the request whose connection broke
+// if the crash is known to the tracker, otherwise of all requests that ran at the engine.
+func (s *simulation) suspect(u *run, incarnation quarantine.Life) {
+	n, now := u.n, s.time()
+	if b, known := n.tracker.Break(u.tracked, now); known {
+		n.registry.Blame([]quarantine.Fingerprint{u.r.fingerprint}, []quarantine.Blame{b}, now)
+	} else if id, fs, bs := n.tracker.End(incarnation, now); len(fs) > 0 {
+		n.registry.Ended(id, now)
+		n.registry.Blame(fs, bs, now)
+	}
+	s.scheduleDecision(n)
+	s.report(n)
+}
+
+// scheduleDecision has a node decide once its latest crashes have settled.
+func (s *simulation) scheduleDecision(n *node) {
+	if n.registry.Pending() {
+		s.after(quarantine.Settle, func() { s.decide(n) })
+	}
+}
+
+// decide has a node's registry reach verdicts on the crashes that have settled.
+func (s *simulation) decide(n *node) {
+	if len(n.registry.Judge(s.time())) > 0 {
+		s.publish(n)
+	}
+}
+
+// fail ends a try; after the first one the caller tries again.
+func (s *simulation) fail(r *request) {
+	if r.tries < 2 {
+		s.after(s.exponential(callerBackoff), func() { s.try(r) })
+	}
+}
+
+// countMessage adds a message and its encoded size to the figures.
+func (s *simulation) countMessage(entries []quarantine.Entry) {
+	raw, err := json.Marshal(peer.Suspects(entries, s.time()))
+	if err != nil {
+		panic(err)
+	}
+	s.result.Messages++
+	s.result.Bytes += len(raw)
+}
