--- a/core/ledger/apply.go
+++ b/core/ledger/apply.go
@@ -6,9 +6,10 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// ApplyEntry folds the entry of the log at offset. Entries must be applied in
-// offset order without gaps other than those the log itself has. An entry that
-// cannot be decoded is folded as nothing, by every node alike.
+// ApplyEntry applies the log entry at offset and returns one outcome per record.
+// Entries must be applied in offset order, without gaps other than those of the
+// log itself. An entry that cannot be decoded changes nothing but NextOffset, so
+// that all nodes stay in the same state.
 func (s *State) ApplyEntry(offset uint64, data []byte) []Outcome {
 	var batch pb.Batch
 	if err := proto.Unmarshal(data, &batch); err != nil {
@@ -23,16 +24,17 @@
 	return outcomes
 }
 
-// Apply folds one record of the entry at offset.
+// Apply accepts or rejects one record of the log entry at offset and updates the
+// state. Queued loads are granted the load slots that the record freed.
 func (s *State) Apply(offset uint64, r *pb.Record) Outcome {
 	o := Outcome{Offset: offset, Record: r}
 	s.advance(r.GetTimeUnixMs())
-	if s.repeated(r) {
+	if s.isDuplicate(r) {
 		o.Reason = Repeated
 		return o
 	}
 	s.dispatch(r, &o)
-	s.grant(offset + 1)
+	s.grantSlots(offset + 1)
 	return o
 }
 
@@ -70,7 +72,7 @@
 	case *pb.Record_ClaimDone:
 		o.Reason = s.claimDone(b.ClaimDone, from)
 	case *pb.Record_Mark, *pb.Record_MarkHash:
-		// Marks change nothing; their readers act on the outcome.
+		// A mark changes no state; the controller acts on its outcome by hashing the state.
 	default:
 		o.Reason = Unsupported
 	}
@@ -79,53 +81,55 @@
 	}
 }
 
-// advance moves the fold's time to a record's, within MaxTimeStep, and sweeps
-// what has expired. It depends on the records alone, so all nodes sweep alike.
+// advance moves LogicalTime forward to the time of a record, by MaxTimeStep at most,
+// and deletes expired entries. LogicalTime depends on the records alone, so all
+// nodes delete the same entries at the same offset.
 func (s *State) advance(unixMs int64) {
-	if s.FoldTime == 0 {
-		s.FoldTime = unixMs
+	if s.LogicalTime == 0 {
+		s.LogicalTime = unixMs
 		s.lastSweep = unixMs
 		return
 	}
-	limit := s.FoldTime + MaxTimeStep.Milliseconds()
-	s.FoldTime = max(s.FoldTime, min(unixMs, limit))
-	if s.FoldTime-s.lastSweep >= sweepEvery.Milliseconds() {
-		s.lastSweep = s.FoldTime
+	limit := s.LogicalTime + MaxTimeStep.Milliseconds()
+	s.LogicalTime = max(s.LogicalTime, min(unixMs, limit))
+	if s.LogicalTime-s.lastSweep >= sweepInterval.Milliseconds() {
+		s.lastSweep = s.LogicalTime
 		s.sweep()
 	}
 }
 
 func (s *State) sweep() {
-	claimsFrom := s.FoldTime - ClaimWindow.Milliseconds()
+	claimsFrom := s.LogicalTime - ClaimWindow.Milliseconds()
 	for id, c := range s.Claims {
 		if c.KeyTime < claimsFrom {
 			delete(s.Claims, id)
 		}
 	}
-	sendersFrom := s.FoldTime - SenderWindow.Milliseconds()
-	for ref, sd := range s.senders {
-		if sd.seen < sendersFrom {
-			delete(s.senders, ref)
+	sendersFrom := s.LogicalTime - SenderWindow.Milliseconds()
+	for ref, sd := range s.lastSequences {
+		if sd.lastSeen < sendersFrom {
+			delete(s.lastSequences, ref)
 		}
 	}
-	for id, c := range s.changes {
-		if c.seen < sendersFrom {
-			delete(s.changes, id)
+	for id, c := range s.appliedChanges {
+		if c.appliedAt < sendersFrom {
+			delete(s.appliedChanges, id)
 		}
 	}
 }
 
-// repeated reports whether the record was folded before, and notes it if not.
+// isDuplicate reports whether the record was applied already, and stores its
+// sequence number if not.
 //
-// A node sends its records in sequence order and sends none before the one
-// before it is known to be on the log, so a sequence at or below the last one
-// folded can only be a repeat, also when it surfaces late.
-func (s *State) repeated(r *pb.Record) bool {
+// A node appends its records in sequence order, each only after the previous one
+// is known to be on the log. A sequence number at or below the last one applied
+// therefore always belongs to a duplicate, even if it reaches the log late.
+func (s *State) isDuplicate(r *pb.Record) bool {
 	ref := NodeRef{r.GetNode(), r.GetIncarnation()}
-	last, ok := s.senders[ref]
-	if ok && r.GetSequence() <= last.sequence && s.guards(GuardRepeat) {
+	last, ok := s.lastSequences[ref]
+	if ok && r.GetSequence() <= last.sequence && s.enforces(GuardRepeat) {
 		return true
 	}
-	s.senders[ref] = sender{sequence: r.GetSequence(), seen: s.FoldTime}
+	s.lastSequences[ref] = lastSequence{sequence: r.GetSequence(), lastSeen: s.LogicalTime}
 	return false
 }
--- a/core/ledger/claim.go
+++ b/core/ledger/claim.go
@@ -2,19 +2,20 @@
 
 import pb "olivetiller/proto/olivetiller/v1"
 
-// claim gives the single run of a once-only request to the first proposer.
+// claim gives the right to run a once-only request to the first proposer. It
+// returns the new claim, or the existing one with KeyTaken.
 //
-// Claims are forgotten when their key is older than ClaimWindow by the fold's
-// time, and a key that old is refused by the same time. The fold's time never
-// falls, so a key whose claim was forgotten can never be claimed again,
-// whatever the clocks of the nodes say.
+// Claims are deleted when their key is older than ClaimWindow by LogicalTime, and a
+// key that old is rejected by the same time. LogicalTime never decreases, so a key
+// whose claim was deleted can never be claimed again, whatever the clocks of the
+// nodes say.
 func (s *State) claim(c *pb.Claim, from NodeRef) (Reason, *Claim) {
 	var id ClaimID
 	if copy(id[:], c.GetId()) != len(id) {
 		return Unsupported, nil
 	}
-	if s.guards(GuardClaim) {
-		if c.GetKeyTimeUnixMs() < s.FoldTime-ClaimWindow.Milliseconds() {
+	if s.enforces(GuardClaim) {
+		if c.GetKeyTimeUnixMs() < s.LogicalTime-ClaimWindow.Milliseconds() {
 			return KeyExpired, nil
 		}
 		if held := s.Claims[id]; held != nil {
@@ -26,8 +27,9 @@
 	return Accepted, won
 }
 
-// owned returns the running claim of id if from owns it.
-func (s *State) owned(raw []byte, from NodeRef) (*Claim, Reason) {
+// ownedClaim returns the claim with the given id if it is in phase Claimed and
+// owned by from; otherwise nil and the reason for the rejection.
+func (s *State) ownedClaim(raw []byte, from NodeRef) (*Claim, Reason) {
 	var id ClaimID
 	copy(id[:], raw)
 	c := s.Claims[id]
@@ -41,7 +43,7 @@
 }
 
 func (s *State) claimRelease(rel *pb.ClaimRelease, from NodeRef) Reason {
-	c, r := s.owned(rel.GetId(), from)
+	c, r := s.ownedClaim(rel.GetId(), from)
 	if r != Accepted {
 		return r
 	}
@@ -50,7 +52,7 @@
 }
 
 func (s *State) claimDone(d *pb.ClaimDone, from NodeRef) Reason {
-	c, r := s.owned(d.GetId(), from)
+	c, r := s.ownedClaim(d.GetId(), from)
 	if r != Accepted {
 		return r
 	}
@@ -60,7 +62,7 @@
 		done.Phase = Answered
 	}
 	done.Status = d.GetStatus()
-	// Claims are handed out in outcomes, so they are replaced and not changed.
+	// Outcomes share the pointer to a claim, so the claim is replaced and not modified.
 	s.Claims[c.ID] = &done
 	return Accepted
 }
--- a/core/ledger/config.go
+++ b/core/ledger/config.go
@@ -5,14 +5,16 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// configChange brings a configuration into force on top of the revision it was
-// made for. The merged whole is checked again here, because the proposer may
-// be of another release.
+// configChange merges a change into the configuration if that is still at the
+// change's base revision. It returns the revision that the change created, or the
+// one in force if it is rejected. A change id that was accepted already is
+// accepted again without effect. The merged configuration is validated again
+// here, because the proposer may run another release.
 func (s *State) configChange(c *pb.ConfigChange) (Reason, uint64) {
-	if done, ok := s.changes[c.GetChangeId()]; ok {
+	if done, ok := s.appliedChanges[c.GetChangeId()]; ok {
 		return Accepted, done.revision
 	}
-	if c.GetBaseRevision() != s.Revision && s.guards(GuardRevision) {
+	if c.GetBaseRevision() != s.Revision && s.enforces(GuardRevision) {
 		return RevisionMoved, s.Revision
 	}
 	next := catalog.Merge(s.Catalog.Config, c.GetUpsert(), c.GetRemove())
@@ -21,12 +23,13 @@
 	}
 	s.Catalog = catalog.New(next)
 	s.Revision++
-	s.changes[c.GetChangeId()] = change{revision: s.Revision, seen: s.FoldTime}
+	s.appliedChanges[c.GetChangeId()] = appliedChange{revision: s.Revision, appliedAt: s.LogicalTime}
 	return Accepted, s.Revision
 }
 
-// ChangeRevision returns the revision that a change id brought into force.
+// ChangeRevision returns the revision that the change with this id created, and
+// false if no such change was accepted within SenderWindow.
 func (s *State) ChangeRevision(changeID string) (uint64, bool) {
-	c, ok := s.changes[changeID]
+	c, ok := s.appliedChanges[changeID]
 	return c.revision, ok
 }
--- a/core/ledger/engine.go
+++ b/core/ledger/engine.go
@@ -2,16 +2,17 @@
 
 import pb "olivetiller/proto/olivetiller/v1"
 
-// engineUp registers an engine. A new incarnation has lost everything that was
-// loaded, quarantine included: no order for the old one can still take effect,
-// because orders name the incarnation.
+// engineUp registers an engine, or a new incarnation of it. A new incarnation has
+// nothing loaded, so all placements are dropped, quarantined ones included: no
+// order for the old incarnation can still take effect, because every order names
+// the incarnation.
 func (s *State) engineUp(up *pb.EngineUp) Reason {
 	old := s.Engines[up.GetEngine()]
 	if old != nil && up.GetIncarnation() <= old.Incarnation {
 		return StaleIncarnation
 	}
 	if old != nil {
-		s.dropAll(old)
+		s.dropPlacements(old)
 	}
 	s.Engines[up.GetEngine()] = newEngine(up)
 	return Accepted
@@ -37,7 +38,7 @@
 	if e.Incarnation != gone.GetIncarnation() {
 		return EngineReplaced
 	}
-	s.dropAll(e)
+	s.dropPlacements(e)
 	delete(s.Engines, e.Name)
 	return Accepted
 }
@@ -51,7 +52,7 @@
 	return Accepted
 }
 
-func (s *State) dropAll(e *Engine) {
+func (s *State) dropPlacements(e *Engine) {
 	for _, p := range e.Placements {
 		s.drop(p)
 	}
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -9,7 +9,7 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// writer makes records of one node incarnation in sequence.
+// writer creates records of one node incarnation with rising sequence numbers.
 type writer struct {
 	node     string
 	sequence uint64
@@ -70,8 +70,8 @@
 	return &pb.Load{Unit: unit, Version: "v1", Engine: engine, EngineIncarnation: 1, Want: want}
 }
 
-// TestOutcomes folds a history and expects the reason of each record after the
-// common beginning: a configuration and two engines of 100 bytes.
+// TestOutcomes applies records to a state with a configuration and two engines of
+// 100 bytes, and expects the given reason for each record.
 func TestOutcomes(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -126,7 +126,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			s, w := begun(t)
+			s, w := newTestState(t)
 			var got []Reason
 			for i, body := range tc.records {
 				got = append(got, s.Apply(uint64(3+i), w.record(body)).Reason)
@@ -138,9 +138,9 @@
 	}
 }
 
-// begun returns a state with a configuration and two engines, folded from
-// offsets 0 to 2.
-func begun(t *testing.T) (*State, *writer) {
+// newTestState returns a state with a configuration and two engines, from records
+// at offsets 0 to 2, and the writer of these records.
+func newTestState(t *testing.T) (*State, *writer) {
 	t.Helper()
 	s, w := NewState(), &writer{node: "n"}
 	for i, body := range []any{
@@ -155,10 +155,11 @@
 	return s, w
 }
 
-// TestSlotsAreGrantedByUrgency queues loads behind one slot and expects the most
-// urgent to get it when it comes free.
+// TestSlotsAreGrantedByUrgency queues two loads behind the single load slot of a
+// weight store and expects that the more urgent one gets the slot when the first
+// load ends, although it was proposed last.
 func TestSlotsAreGrantedByUrgency(t *testing.T) {
-	s, w := begun(t)
+	s, w := newTestState(t)
 	urgent := func(unit, engine string, at int64) *pb.Load {
 		l := load(unit, engine, 1)
 		l.UrgentUnixMs = at
@@ -185,9 +186,11 @@
 	}
 }
 
-// TestUnknownRecordsAreSurvived folds what a later release may write.
-func TestUnknownRecordsAreSurvived(t *testing.T) {
-	s, w := begun(t)
+// TestUnknownRecordsAreSkipped applies a record without a known body and an entry
+// that is not a protobuf message, as a later release may write them. Later
+// records must still be applied.
+func TestUnknownRecordsAreSkipped(t *testing.T) {
+	s, w := newTestState(t)
 	if got := s.Apply(3, &pb.Record{Node: "x", Incarnation: 1, Sequence: 1}).Reason; got != Unsupported {
 		t.Errorf("reason = %v, want Unsupported", got)
 	}
@@ -195,12 +198,13 @@
 		t.Errorf("garbage: outcomes %v, next offset %d", got, s.NextOffset)
 	}
 	if got := s.Apply(5, w.record(load("big", "e1", 1))).Reason; got != Accepted {
-		t.Errorf("the fold did not go on: %v", got)
+		t.Errorf("record after the undecodable entry: reason = %v, want Accepted", got)
 	}
 }
 
-// TestEveryReasonHasARemedy checks the texts that operators see.
-func TestEveryReasonHasARemedy(t *testing.T) {
+// TestEveryReasonHasText guards against a new Reason without an entry in
+// reasonTexts or reasonNames, which operators would see as an empty string.
+func TestEveryReasonHasText(t *testing.T) {
 	for r := Accepted; r <= StaleIncarnation; r++ {
 		if r.String() == "" || r.Name() == "" {
 			t.Errorf("reason %d has no text or name", r)
--- a/core/ledger/outcome.go
+++ b/core/ledger/outcome.go
@@ -2,10 +2,10 @@
 
 import pb "olivetiller/proto/olivetiller/v1"
 
-// Reason says why a record was rejected.
+// Reason is the verdict on a record: Accepted, or why it was rejected.
 type Reason uint8
 
-// Reasons. Accepted is the zero value.
+// The reasons; [Reason.String] explains each. Accepted is the zero value.
 const (
 	Accepted Reason = iota
 	Repeated
@@ -84,23 +84,25 @@
 	StaleIncarnation: "staleIncarnation",
 }
 
-// Name returns the reason's name, as metrics and logs show it.
+// Name returns the short name under which metrics and logs show the reason.
 func (r Reason) Name() string { return reasonNames[r] }
 
-// String returns the reason with its remedy.
+// String returns the reason in words, with the remedy where there is one.
 func (r Reason) String() string { return reasonTexts[r] }
 
-// Outcome is what became of one record.
+// Outcome is the result of applying one record.
 type Outcome struct {
+	// Offset is the offset of the log entry that holds the record.
 	Offset uint64
 	Record *pb.Record
 	Reason Reason
-	// Fence is the fence of the order that the record put in force, if it did.
+	// Fence is the record's fencing number, Offset+1, if it was accepted; else 0.
 	Fence uint64
-	// Revision is the revision that a ConfigChange brought into force, or the
-	// one that stood in its way.
+	// Revision is the revision that an accepted ConfigChange created, or the one in
+	// force when it was rejected; 0 for other records.
 	Revision uint64
-	// Claim is the claim that a Claim record won or found.
+	// Claim is the claim that a Claim record created, or the existing one that
+	// caused KeyTaken; else nil.
 	Claim *Claim
 }
 
--- a/core/ledger/placement.go
+++ b/core/ledger/placement.go
@@ -11,17 +11,18 @@
 		return NoSuchUnit
 	}
 	e := s.Engines[l.GetEngine()]
-	if r := s.mayPlace(u, e, l); r != Accepted {
+	if r := s.checkPlacement(u, e, l); r != Accepted {
 		return r
 	}
 	bytes := u.Bytes(l.GetVersion())
-	if e.Used+bytes > e.MemoryBytes && s.guards(GuardMemory) {
+	if e.Used+bytes > e.MemoryBytes && s.enforces(GuardMemory) {
 		return NoMemory
 	}
-	if s.Queued(u.Store) >= MaxQueued {
+	if s.Queued(u.Store) >= MaxQueuedLoads {
 		return NoLoadSlot
 	}
-	// grant moves it on at once when a slot is free and nothing more urgent waits.
+	// grantSlots, which runs after each record, moves the placement to Loading at
+	// once if a slot is free and no queued load is more urgent.
 	s.add(&Placement{
 		Key:      Key{l.GetUnit(), l.GetVersion(), l.GetEngine()},
 		Phase:    Queued,
@@ -29,18 +30,18 @@
 		Executor: from,
 		Bytes:    bytes,
 		Store:    u.Store,
-		Urgent:   l.GetUrgentUnixMs(),
+		Deadline: l.GetUrgentUnixMs(),
 	})
 	return Accepted
 }
 
-// grant gives the free load slots of each weight store to the most urgent loads
-// that wait. The record that freed a slot is the grant: the fold alone decides
-// who is next, so a burst of loads costs the log one proposal each, however
-// many homes compete.
-func (s *State) grant(fence uint64) {
+// grantSlots gives the free load slots of each weight store to its most urgent
+// queued loads, with the given fence. A grant needs no record of its own: the
+// record that freed the slot implies it. A burst of loads thus costs the log one
+// proposal each, however many home nodes compete.
+func (s *State) grantSlots(fence uint64) {
 	for store := range s.queued {
-		for s.Queued(store) > 0 && (s.loading[store] < s.Catalog.StoreSlots[store] || !s.guards(GuardSlots)) {
+		for s.Queued(store) > 0 && (s.usedSlots[store] < s.Catalog.StoreSlots[store] || !s.enforces(GuardSlots)) {
 			p := s.mostUrgent(store)
 			s.setPhase(p, Loading)
 			p.Fence = fence
@@ -51,17 +52,18 @@
 func (s *State) mostUrgent(store string) *Placement {
 	var best *Placement
 	for _, p := range s.queued[store] {
-		if best == nil || p.before(best) {
+		if best == nil || p.precedes(best) {
 			best = p
 		}
 	}
 	return best
 }
 
-// before orders queued placements alike on every node.
-func (p *Placement) before(o *Placement) bool {
-	if p.Urgent != o.Urgent {
-		return p.Urgent < o.Urgent
+// precedes reports whether p is granted a load slot before o. It is a total order
+// and therefore the same on every node.
+func (p *Placement) precedes(o *Placement) bool {
+	if p.Deadline != o.Deadline {
+		return p.Deadline < o.Deadline
 	}
 	if p.Fence != o.Fence {
 		return p.Fence < o.Fence
@@ -72,8 +74,8 @@
 	return p.Unit+"@"+p.Version < o.Unit+"@"+o.Version
 }
 
-// mayPlace checks everything about a load but the room for it.
-func (s *State) mayPlace(u *catalog.Unit, e *Engine, l *pb.Load) Reason {
+// checkPlacement checks all conditions of a load except memory and queue length.
+func (s *State) checkPlacement(u *catalog.Unit, e *Engine, l *pb.Load) Reason {
 	switch {
 	case u.Banned:
 		return UnitBanned
@@ -92,7 +94,7 @@
 		return AlreadyPlaced
 	}
 	limit := min(int(l.GetWant()), u.MaxReplicas)
-	if len(replicas) >= limit && s.guards(GuardReplicas) {
+	if len(replicas) >= limit && s.enforces(GuardReplicas) {
 		return EnoughReplicas
 	}
 	if u.Base != "" && !s.baseReady(u, e) {
@@ -110,20 +112,21 @@
 	return p != nil && p.Phase == Ready
 }
 
-// current returns the placement of an order, if the fence is the one in force.
-func (s *State) current(k Key, fence uint64) (*Placement, Reason) {
+// findByFence returns the placement with key k if its current fence is the given
+// one; otherwise nil and StaleFence.
+func (s *State) findByFence(k Key, fence uint64) (*Placement, Reason) {
 	p := s.Find(k)
 	if p == nil {
 		return nil, StaleFence
 	}
-	if p.Fence != fence && s.guards(GuardFence) {
+	if p.Fence != fence && s.enforces(GuardFence) {
 		return nil, StaleFence
 	}
 	return p, Accepted
 }
 
 func (s *State) loadDone(d *pb.LoadDone) Reason {
-	p, r := s.current(Key{d.GetUnit(), d.GetVersion(), d.GetEngine()}, d.GetFence())
+	p, r := s.findByFence(Key{d.GetUnit(), d.GetVersion(), d.GetEngine()}, d.GetFence())
 	if r != Accepted {
 		return r
 	}
@@ -131,7 +134,7 @@
 		return WrongPhase
 	}
 	if d.GetUnsure() && !s.Engines[p.Engine].ChecksFences {
-		// An attempt without an answer may still arrive after an unload.
+		// An unanswered attempt may still reach the engine after a later unload.
 		p.LateOrders = true
 	}
 	s.setPhase(p, Ready)
@@ -139,7 +142,7 @@
 }
 
 func (s *State) loadFailed(f *pb.LoadFailed, fence uint64) Reason {
-	p, r := s.current(Key{f.GetUnit(), f.GetVersion(), f.GetEngine()}, f.GetFence())
+	p, r := s.findByFence(Key{f.GetUnit(), f.GetVersion(), f.GetEngine()}, f.GetFence())
 	if r != Accepted {
 		return r
 	}
@@ -150,14 +153,15 @@
 	return Accepted
 }
 
-// takeover gives an unfinished order a new executor and a higher fence. Who may
-// take over when is the planner's affair; the fold only sees to it that one
-// does. An engine that ignores fences may still receive the order of the
-// executor before, hence LateOrders. The takeover of a quarantined placement
-// makes one node, and no other, write the unload that ends the quarantine: two
-// such unloads could outlive it and remove a later replica.
+// takeover gives an unfinished order a new executor and a higher fence. The
+// planner decides which node proposes a takeover and when; the fence ensures that
+// only one proposal is accepted. An engine that ignores fences may still receive
+// the order of the previous executor, hence LateOrders. The takeover of a
+// quarantined placement makes a single node send the unload that ends the
+// quarantine: with two such unloads, one could arrive after the quarantine and
+// remove a later replica.
 func (s *State) takeover(t *pb.Takeover, from NodeRef, fence uint64) Reason {
-	p, r := s.current(Key{t.GetUnit(), t.GetVersion(), t.GetEngine()}, t.GetFence())
+	p, r := s.findByFence(Key{t.GetUnit(), t.GetVersion(), t.GetEngine()}, t.GetFence())
 	if r != Accepted {
 		return r
 	}
@@ -173,19 +177,19 @@
 }
 
 func (s *State) unload(u *pb.Unload, from NodeRef, fence uint64) Reason {
-	p, r := s.current(Key{u.GetUnit(), u.GetVersion(), u.GetEngine()}, u.GetFence())
+	p, r := s.findByFence(Key{u.GetUnit(), u.GetVersion(), u.GetEngine()}, u.GetFence())
 	if r != Accepted {
 		return r
 	}
 	if p.Phase == Queued {
-		// No order has gone out yet.
+		// No order has been sent to the engine yet.
 		s.drop(p)
 		return Accepted
 	}
 	if p.Phase != Ready {
 		return WrongPhase
 	}
-	if s.adaptersOn(p) {
+	if s.hasAdapters(p) {
 		return AdaptersLoaded
 	}
 	s.setPhase(p, Unloading)
@@ -194,8 +198,9 @@
 	return Accepted
 }
 
-// adaptersOn reports whether adapters of a base model are placed beside it.
-func (s *State) adaptersOn(p *Placement) bool {
+// hasAdapters reports whether the engine of p has placements of adapters whose
+// base model is p.
+func (s *State) hasAdapters(p *Placement) bool {
 	for uv := range s.Engines[p.Engine].Placements {
 		u := s.Catalog.Units[uv.Unit]
 		if u != nil && u.Base == p.Unit {
@@ -206,7 +211,7 @@
 }
 
 func (s *State) unloadDone(d *pb.UnloadDone, fence uint64) Reason {
-	p, r := s.current(Key{d.GetUnit(), d.GetVersion(), d.GetEngine()}, d.GetFence())
+	p, r := s.findByFence(Key{d.GetUnit(), d.GetVersion(), d.GetEngine()}, d.GetFence())
 	if r != Accepted {
 		return r
 	}
@@ -217,14 +222,14 @@
 	return Accepted
 }
 
-// remove ends a placement: at once, or through quarantine when a late order
-// could bring it back on an engine that ignores fences.
+// remove drops a placement, or quarantines it if an earlier order could still
+// reach the engine and load the replica again, because the engine ignores fences.
 func (s *State) remove(p *Placement, unsure bool, fence uint64) {
 	late := p.LateOrders || (unsure && !s.Engines[p.Engine].ChecksFences)
-	if late && s.guards(GuardQuarantine) {
+	if late && s.enforces(GuardQuarantine) {
 		s.setPhase(p, Quarantined)
-		// Nobody may write an order for it until somebody takes it over, and a
-		// takeover meant for the order before must not pass for that.
+		// Clearing Executor prevents orders until a node takes the placement over.
+		// The new fence rejects takeovers that were meant for the previous order.
 		p.Executor = NodeRef{}
 		p.Fence = fence
 		return
@@ -233,7 +238,7 @@
 }
 
 func (s *State) quarantineEnd(q *pb.QuarantineEnd) Reason {
-	p, r := s.current(Key{q.GetUnit(), q.GetVersion(), q.GetEngine()}, q.GetFence())
+	p, r := s.findByFence(Key{q.GetUnit(), q.GetVersion(), q.GetEngine()}, q.GetFence())
 	if r != Accepted {
 		return r
 	}
--- a/core/ledger/property_test.go
+++ b/core/ledger/property_test.go
@@ -10,11 +10,11 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// TestFoldKeepsItsPromises folds random histories: records of several nodes,
-// some repeated, some surfacing late, with clocks that disagree. After every
-// record the promises must hold, and a node that booted from a snapshot taken
-// anywhere must end in the same state as one that folded everything.
-func TestFoldKeepsItsPromises(t *testing.T) {
+// TestInvariantsHoldInRandomHistories applies random records of several nodes,
+// some of them duplicated and late, with clocks that disagree. The invariants in
+// check must hold after every record, and a state restored from a snapshot taken
+// anywhere in between must end equal to the state that applied all records.
+func TestInvariantsHoldInRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := history{rt: rt, s: NewState(), writers: []*writer{{node: "a"}, {node: "b"}, {node: "c"}}}
 		h.apply(h.writers[0].record(&pb.ConfigChange{ChangeId: "a", Upsert: testConfig()}))
@@ -24,7 +24,7 @@
 		var booted *State
 		for i := range 60 {
 			if i == boot {
-				booted = h.reboot()
+				booted = h.restoreSnapshot()
 			}
 			h.step()
 			if booted != nil {
@@ -34,12 +34,12 @@
 			}
 		}
 		if booted != nil {
-			mustEqual(rt, h.s, booted)
+			requireEqualStates(rt, h.s, booted)
 		}
 	})
 }
 
-// history grows one random record at a time.
+// history is a sequence of random records and the state after them.
 type history struct {
 	rt      *rapid.T
 	s       *State
@@ -56,12 +56,13 @@
 	return o
 }
 
-// step applies a new record, or one that was applied before.
+// step applies a new random record or, in one of ten cases, a duplicate of an
+// earlier one.
 func (h *history) step() {
 	if rapid.IntRange(0, 9).Draw(h.rt, "repeat") == 0 {
 		old := rapid.SampledFrom(h.records).Draw(h.rt, "old")
 		if o := h.apply(old); o.Reason != Repeated {
-			h.rt.Fatalf("a repeated record was folded again: %v", o.Reason)
+			h.rt.Fatalf("a duplicate record was not rejected as Repeated: %v", o.Reason)
 		}
 		return
 	}
@@ -106,7 +107,8 @@
 	return &pb.ClaimRelease{Id: id}
 }
 
-// check compares the indexes with the placements and both with the promises.
+// check compares the indexes with the placements and verifies the limits on
+// memory, replicas and load slots.
 func (h *history) check() {
 	s := h.s
 	loading := make(map[string]int)
@@ -121,27 +123,27 @@
 				h.rt.Fatalf("%v is not among the replicas", p.Key)
 			}
 			if (p.Phase == Ready) == (s.Open[p.Key] != nil) {
-				h.rt.Fatalf("%v is %s and its place among the open ones is wrong", p.Key, p.Phase)
+				h.rt.Fatalf("%v is %s, which disagrees with the index Open", p.Key, p.Phase)
 			}
 		}
 		if used != e.Used || used > e.MemoryBytes {
-			h.rt.Fatalf("engine %s: %d bytes placed, %d accounted, %d there", e.Name, used, e.Used, e.MemoryBytes)
+			h.rt.Fatalf("engine %s: %d bytes placed, %d accounted, capacity %d", e.Name, used, e.Used, e.MemoryBytes)
 		}
 	}
 	for uv, replicas := range s.Replicas {
 		if u := s.Catalog.Units[uv.Unit]; len(replicas) > u.MaxReplicas {
-			h.rt.Fatalf("%s has %d replicas, %d are allowed", uv.Unit, len(replicas), u.MaxReplicas)
+			h.rt.Fatalf("unit %s has %d replicas, the limit is %d", uv.Unit, len(replicas), u.MaxReplicas)
 		}
 	}
 	for store, n := range loading {
 		if n > s.Catalog.StoreSlots[store] || n != s.Loading(store) {
-			h.rt.Fatalf("store %s: %d loads, %d counted, %d slots", store, n, s.Loading(store), s.Catalog.StoreSlots[store])
+			h.rt.Fatalf("store %s: %d placements loading, %d slots counted as used, %d slots", store, n, s.Loading(store), s.Catalog.StoreSlots[store])
 		}
 	}
 }
 
-// reboot returns the state that a node gets from a snapshot.
-func (h *history) reboot() *State {
+// restoreSnapshot encodes the current state and returns the state decoded from it.
+func (h *history) restoreSnapshot() *State {
 	data, hash, err := Encode(h.s.Snapshot())
 	if err != nil {
 		h.rt.Fatal(err)
@@ -150,19 +152,20 @@
 	if err != nil {
 		h.rt.Fatal(err)
 	}
-	mustEqual(h.rt, h.s, s)
+	requireEqualStates(h.rt, h.s, s)
 	return s
 }
 
-func mustEqual(rt *rapid.T, a, b *State) {
+func requireEqualStates(rt *rapid.T, a, b *State) {
 	x, y := a.Snapshot(), b.Snapshot()
 	if !proto.Equal(x, y) {
 		rt.Fatalf("states differ:\n%v\n%v", x, y)
 	}
 }
 
-// FuzzApplyEntry folds arbitrary bytes: whatever stands on the log, the fold
-// goes on and its offset moves.
+// FuzzApplyEntry applies arbitrary bytes as log entries. No entry may panic or
+// stop the state machine: NextOffset must advance, and the state must survive a
+// snapshot.
 func FuzzApplyEntry(f *testing.F) {
 	w := &writer{node: "n"}
 	for _, body := range []any{&pb.ConfigChange{ChangeId: "a", Upsert: testConfig()}, load("big", "e1", 1), &pb.Claim{Id: []byte("short")}} {
--- a/core/ledger/snapshot.go
+++ b/core/ledger/snapshot.go
@@ -13,27 +13,29 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// ErrSnapshot is returned for a snapshot that cannot be restored.
+// ErrSnapshot is returned by [Decode] and [Restore] for a snapshot that is damaged
+// or inconsistent.
 var ErrSnapshot = eris.New("the snapshot is damaged; fetch it from another peer or an earlier one from the log")
 
-// Snapshot returns the state in canonical order: equal states have equal
-// snapshots, byte for byte once encoded by [Encode].
+// Snapshot returns the state as a message with all lists sorted, so that equal
+// states yield equal bytes when encoded by [Encode].
 func (s *State) Snapshot() *pb.Snapshot {
 	return &pb.Snapshot{
 		NextOffset:      s.NextOffset,
-		FoldTimeUnixMs:  s.FoldTime,
+		FoldTimeUnixMs:  s.LogicalTime,
 		LastSweepUnixMs: s.lastSweep,
 		Revision:        s.Revision,
 		Config:          s.Catalog.Config,
-		Engines:         s.engineStates(),
-		Placements:      s.placementStates(),
-		Claims:          s.claimStates(),
-		Senders:         s.senderStates(),
-		Changes:         s.changeStates(),
+		Engines:         s.engineProtos(),
+		Placements:      s.placementProtos(),
+		Claims:          s.claimProtos(),
+		Senders:         s.senderProtos(),
+		Changes:         s.changeProtos(),
 	}
 }
 
-// Encode returns a snapshot's bytes and their SHA-256.
+// Encode serializes a snapshot deterministically and returns the bytes and their
+// SHA-256.
 func Encode(snap *pb.Snapshot) ([]byte, [32]byte, error) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(snap)
 	if err != nil {
@@ -42,7 +44,8 @@
 	return data, sha256.Sum256(data), nil
 }
 
-// Decode returns the state of an encoded snapshot, if the hash is its own.
+// Decode checks the SHA-256 of an encoded snapshot and restores its state. The
+// error wraps [ErrSnapshot].
 func Decode(data, hash []byte) (*State, error) {
 	sum := sha256.Sum256(data)
 	if !bytes.Equal(sum[:], hash) {
@@ -55,11 +58,12 @@
 	return Restore(&snap)
 }
 
-// Restore returns the state that a snapshot holds.
+// Restore rebuilds the state and its indexes from a snapshot. The error wraps
+// [ErrSnapshot].
 func Restore(snap *pb.Snapshot) (*State, error) {
 	s := NewState()
 	s.NextOffset = snap.GetNextOffset()
-	s.FoldTime = snap.GetFoldTimeUnixMs()
+	s.LogicalTime = snap.GetFoldTimeUnixMs()
 	s.lastSweep = snap.GetLastSweepUnixMs()
 	s.Revision = snap.GetRevision()
 	if snap.GetConfig() != nil {
@@ -74,22 +78,22 @@
 		if s.Engines[ps.GetEngine()] == nil {
 			return nil, eris.Wrapf(ErrSnapshot, "placement of %s on unknown engine %s", ps.GetUnit(), ps.GetEngine())
 		}
-		s.add(placementOf(ps))
+		s.add(placementFromProto(ps))
 	}
 	for _, cs := range snap.GetClaims() {
-		c := claimOf(cs)
+		c := claimFromProto(cs)
 		s.Claims[c.ID] = c
 	}
 	for _, ss := range snap.GetSenders() {
-		s.senders[NodeRef{ss.GetNode(), ss.GetIncarnation()}] = sender{ss.GetSequence(), ss.GetSeenUnixMs()}
+		s.lastSequences[NodeRef{ss.GetNode(), ss.GetIncarnation()}] = lastSequence{ss.GetSequence(), ss.GetSeenUnixMs()}
 	}
 	for _, cs := range snap.GetChanges() {
-		s.changes[cs.GetChangeId()] = change{cs.GetRevision(), cs.GetSeenUnixMs()}
+		s.appliedChanges[cs.GetChangeId()] = appliedChange{cs.GetRevision(), cs.GetSeenUnixMs()}
 	}
 	return s, nil
 }
 
-func (s *State) engineStates() []*pb.EngineState {
+func (s *State) engineProtos() []*pb.EngineState {
 	out := make([]*pb.EngineState, 0, len(s.Engines))
 	for _, e := range s.Engines {
 		out = append(out, &pb.EngineState{
@@ -104,7 +108,7 @@
 	return out
 }
 
-func (s *State) placementStates() []*pb.PlacementState {
+func (s *State) placementProtos() []*pb.PlacementState {
 	var out []*pb.PlacementState
 	for _, e := range s.Engines {
 		for _, p := range e.Placements {
@@ -113,7 +117,7 @@
 				Phase: uint32(p.Phase), Fence: p.Fence,
 				Executor:   p.Executor.Node,
 				LateOrders: p.LateOrders, Bytes: p.Bytes, Store: p.Store,
-				ExecutorIncarnation: p.Executor.Incarnation, UrgentUnixMs: p.Urgent,
+				ExecutorIncarnation: p.Executor.Incarnation, UrgentUnixMs: p.Deadline,
 			})
 		}
 	}
@@ -130,7 +134,7 @@
 	return out
 }
 
-func placementOf(ps *pb.PlacementState) *Placement {
+func placementFromProto(ps *pb.PlacementState) *Placement {
 	return &Placement{
 		Key:        Key{ps.GetUnit(), ps.GetVersion(), ps.GetEngine()},
 		Phase:      Phase(ps.GetPhase()),
@@ -139,11 +143,11 @@
 		LateOrders: ps.GetLateOrders(),
 		Bytes:      ps.GetBytes(),
 		Store:      ps.GetStore(),
-		Urgent:     ps.GetUrgentUnixMs(),
+		Deadline:   ps.GetUrgentUnixMs(),
 	}
 }
 
-func (s *State) claimStates() []*pb.ClaimState {
+func (s *State) claimProtos() []*pb.ClaimState {
 	out := make([]*pb.ClaimState, 0, len(s.Claims))
 	for _, c := range s.Claims {
 		id := c.ID
@@ -156,7 +160,7 @@
 	return out
 }
 
-func claimOf(cs *pb.ClaimState) *Claim {
+func claimFromProto(cs *pb.ClaimState) *Claim {
 	c := &Claim{
 		KeyTime: cs.GetKeyTimeUnixMs(),
 		Owner:   NodeRef{cs.GetOwner(), cs.GetOwnerIncarnation()},
@@ -167,11 +171,11 @@
 	return c
 }
 
-func (s *State) senderStates() []*pb.SenderState {
-	out := make([]*pb.SenderState, 0, len(s.senders))
-	for ref, sd := range s.senders {
+func (s *State) senderProtos() []*pb.SenderState {
+	out := make([]*pb.SenderState, 0, len(s.lastSequences))
+	for ref, sd := range s.lastSequences {
 		out = append(out, &pb.SenderState{
-			Node: ref.Node, Incarnation: ref.Incarnation, Sequence: sd.sequence, SeenUnixMs: sd.seen,
+			Node: ref.Node, Incarnation: ref.Incarnation, Sequence: sd.sequence, SeenUnixMs: sd.lastSeen,
 		})
 	}
 	sort.Slice(out, func(i, j int) bool {
@@ -183,10 +187,10 @@
 	return out
 }
 
-func (s *State) changeStates() []*pb.ChangeState {
-	out := make([]*pb.ChangeState, 0, len(s.changes))
-	for id, c := range s.changes {
-		out = append(out, &pb.ChangeState{ChangeId: id, Revision: c.revision, SeenUnixMs: c.seen})
+func (s *State) changeProtos() []*pb.ChangeState {
+	out := make([]*pb.ChangeState, 0, len(s.appliedChanges))
+	for id, c := range s.appliedChanges {
+		out = append(out, &pb.ChangeState{ChangeId: id, Revision: c.revision, SeenUnixMs: c.appliedAt})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ChangeId < out[j].ChangeId })
 	return out
--- a/core/plan/loads.go
+++ b/core/plan/loads.go
@@ -27,7 +27,7 @@
 func (p *Planner) loads(in *Input) []Action {
 	var acts []Action
 	for _, w := range p.wishes(in) {
-		if in.Ledger.Queued(w.unit.Store) >= ledger.MaxQueued {
+		if in.Ledger.Queued(w.unit.Store) >= ledger.MaxQueuedLoads {
 			p.reasons[w.unit.Name] = "waits: the queue for weight store " + w.unit.Store + " is full"
 			continue
 		}
