--- a/core/plan/doc.go
+++ b/core/plan/doc.go
@@ -1,16 +1,20 @@
-// Package plan turns what is decided and what is known into the next steps of
-// one node: records to propose and orders to carry out.
+// Package plan decides the next steps of one node: the records that it proposes
+// on the log and the orders that it sends to engines.
 //
-// The problem: many nodes see the same demand, any of them may be paused, dead
-// or wrong about the others, and each must neither wait for ever nor act twice.
-// The model: [Planner.Plan] is a function of the folded ledger, the soft state
-// and the time. It proposes only for units whose home the node is, or whose
-// home has been silent too long; it returns an order only for a placement whose
-// accepted record names this node incarnation the executor. Whatever the
-// planner gets wrong, the fold rejects; planning only saves work.
+// [Planner.Plan] is a function of the decided state ([ledger.State]), the
+// observed state of engines and peers, the demand and the time; the controller
+// calls it after every event. Many nodes see the same demand, and any of them may
+// be paused, dead or wrong about the others. Each unit and engine therefore has a
+// home node, chosen by rendezvous hashing among the live nodes, that proposes its
+// records. Another node proposes a load only if requests wait at that node and
+// the home has not acted for [HomeSilence] or longer. An order is returned only
+// for a placement whose accepted record names this node incarnation as its
+// executor. No guarantee depends on the plan: a wrong proposal is rejected when it
+// is applied, and planning well only saves work.
 //
-// Leases are judged by monotonic clocks alone. An executor writes an order only
-// within [Lease] of proposing it. Any other node takes an order over only after
-// it has itself watched the order for longer than that, or, where the engine
-// checks fences, as soon as it holds the executor for dead.
+// Leases are measured with monotonic clocks only. An executor sends an order only
+// within [Lease] after proposing it. Another node takes an unfinished order over
+// only after it has itself observed the order for [TakeoverAfter], which is
+// longer than a lease, or, if the engine checks fences, as soon as it considers
+// the executor dead.
 package plan
--- a/core/plan/engines.go
+++ b/core/plan/engines.go
@@ -8,11 +8,12 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// engines proposes to register the engines that are there and to remove those
-// that the platform no longer lists.
-func (p *Planner) engines(in *Input) []Action {
+// engineActions proposes to register reachable engines with a new incarnation, and
+// to remove registered ones that are neither listed by the platform nor reachable.
+// It covers the engines whose home is this node.
+func (p *Planner) engineActions(in *Input) []Action {
 	var acts []Action
-	for _, name := range p.ownNames(in) {
+	for _, name := range p.ownedEngines(in) {
 		soft := in.Engines[name]
 		if soft.Up == nil || !soft.Reachable {
 			continue
@@ -24,7 +25,7 @@
 		up := proto.Clone(soft.Up).(*pb.EngineUp)
 		acts = append(acts, p.propose(in, &pb.Record{Body: &pb.Record_EngineUp{EngineUp: up}})...)
 	}
-	for _, name := range p.ownNames(in) {
+	for _, name := range p.ownedEngines(in) {
 		soft, known := in.Engines[name], in.Ledger.Engines[name]
 		if known == nil || soft.Listed || soft.Reachable {
 			continue
@@ -36,9 +37,9 @@
 	return acts
 }
 
-// ownNames returns, in order, the engines whose home this node is. Most are not:
-// they are passed over before anything is done with them.
-func (p *Planner) ownNames(in *Input) []string {
+// ownedEngines returns the sorted names of the engines whose home is this node. In
+// a large fleet these are few, so the names are filtered before sorting.
+func (p *Planner) ownedEngines(in *Input) []string {
 	var out []string
 	for name := range in.Engines {
 		if p.Home(name) == p.Self.Node {
--- a/core/plan/loads.go
+++ b/core/plan/loads.go
@@ -13,55 +13,59 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// wish is a unit that wants one more replica.
-type wish struct {
+// replicaRequest is the need of a unit for one more replica.
+type replicaRequest struct {
 	unit   *catalog.Unit
 	demand demand.Demand
-	// urgent is the time by which the replica is wanted.
-	urgent time.Time
-	why    string
+	// deadline is the time by which the replica is wanted.
+	deadline time.Time
+	// cause is the reason that operators see in the unit's status.
+	cause string
 }
 
-// loads proposes replicas for units that wait, are pinned or are due, the most
-// urgent first, so that they get the weight store's free slots first.
-func (p *Planner) loads(in *Input) []Action {
+// loadActions proposes loads, or evictions that make room for them, for units that
+// have waiting requests, are pinned or are prewarmed. The most urgent come first,
+// so that they get the free load slots of the weight store.
+func (p *Planner) loadActions(in *Input) []Action {
 	var acts []Action
-	for _, w := range p.wishes(in) {
+	for _, w := range p.replicaRequests(in) {
 		if in.Ledger.Queued(w.unit.Store) >= ledger.MaxQueuedLoads {
 			p.reasons[w.unit.Name] = "waits: the queue for weight store " + w.unit.Store + " is full"
 			continue
 		}
-		acts = append(acts, p.loadOne(in, w)...)
+		acts = append(acts, p.proposeLoad(in, w)...)
 	}
 	return acts
 }
 
-// wishes returns the units that want a replica, most urgent first.
-func (p *Planner) wishes(in *Input) []wish {
-	var out []wish
+// replicaRequests returns the units that need one more replica, at most one
+// request per unit, sorted by deadline. If the base model of an adapter is not
+// ready, it returns a request for the base model instead.
+func (p *Planner) replicaRequests(in *Input) []replicaRequest {
+	var out []replicaRequest
 	wanted := make(map[string]bool)
-	add := func(w wish) {
+	add := func(w replicaRequest) {
 		if !wanted[w.unit.Name] {
 			wanted[w.unit.Name] = true
 			out = append(out, w)
 		}
 	}
-	for _, name := range p.demanded(in) {
+	for _, name := range p.loadableUnits(in) {
 		u := in.Ledger.Catalog.Units[name]
 		if u == nil || u.Banned {
 			continue
 		}
 		d := in.Demand.Get(name, in.Now)
-		if !p.acts(in, u, d) {
+		if !p.isResponsible(in, u, d) {
 			continue
 		}
-		w, ok := p.wants(in, u, d)
+		w, ok := p.needsReplica(in, u, d)
 		if !ok {
 			continue
 		}
 		if base := in.Ledger.Catalog.Units[u.Base]; base != nil && !p.anyReady(in, base) {
-			if p.placed(in, base) == 0 {
-				add(wish{unit: base, demand: d, urgent: w.urgent, why: "adapter " + name + " waits"})
+			if p.pendingReplicas(in, base) == 0 {
+				add(replicaRequest{unit: base, demand: d, deadline: w.deadline, cause: "adapter " + name + " waits"})
 			}
 			p.reasons[name] = "waits for its base model " + base.Name
 			continue
@@ -69,16 +73,17 @@
 		add(w)
 	}
 	sort.SliceStable(out, func(i, j int) bool {
-		if !out[i].urgent.Equal(out[j].urgent) {
-			return out[i].urgent.Before(out[j].urgent)
+		if !out[i].deadline.Equal(out[j].deadline) {
+			return out[i].deadline.Before(out[j].deadline)
 		}
 		return out[i].unit.Name < out[j].unit.Name
 	})
 	return out
 }
 
-// demanded returns the units that may want a replica, in order.
-func (p *Planner) demanded(in *Input) []string {
+// loadableUnits returns the sorted names of the units that may need a replica:
+// those with demand and the pinned ones.
+func (p *Planner) loadableUnits(in *Input) []string {
 	names := in.Demand.Units()
 	seen := make(map[string]bool, len(names))
 	for _, n := range names {
@@ -93,53 +98,55 @@
 	return names
 }
 
-// acts reports whether this node acts for a unit: as its home, or because the
-// home has been silent while requests wait here.
-func (p *Planner) acts(in *Input, u *catalog.Unit, d demand.Demand) bool {
+// isResponsible reports whether this node proposes loads of a unit: as its home,
+// or because requests have waited here longer than the home may take to act.
+func (p *Planner) isResponsible(in *Input, u *catalog.Unit, d demand.Demand) bool {
 	home := p.Home(HomeKey(u))
 	if home == p.Self.Node {
 		return true
 	}
-	patience := HomeSilence + p.jitter
+	timeout := HomeSilence + p.jitter
 	if in.HomeAcked != nil && in.HomeAcked(home) {
-		patience *= ackedPatience
+		timeout *= ackedHomeFactor
 	}
-	return d.Waiting > 0 && in.Now.Sub(d.Since) > patience
+	return d.Waiting > 0 && in.Now.Sub(d.Since) > timeout
 }
 
-// wants decides whether a unit needs one more replica now.
-func (p *Planner) wants(in *Input, u *catalog.Unit, d demand.Demand) (wish, bool) {
-	if in.Now.Before(p.failing[u.Name].until) {
-		return wish{}, false
-	}
-	usable, coming, total := p.count(in, u)
+// needsReplica reports whether a unit needs one more replica now, and returns the
+// request for it. It needs none during the backoff after a failed load, while
+// another load is in progress and at the replica limit.
+func (p *Planner) needsReplica(in *Input, u *catalog.Unit, d demand.Demand) (replicaRequest, bool) {
+	if in.Now.Before(p.loadBackoffs[u.Name].until) {
+		return replicaRequest{}, false
+	}
+	usable, loading, total := p.countReplicas(in, u)
 	if usable > 0 {
-		delete(p.failing, u.Name)
+		delete(p.loadBackoffs, u.Name)
 	}
-	if coming > 0 || total >= u.MaxReplicas {
-		return wish{}, false
+	if loading > 0 || total >= u.MaxReplicas {
+		return replicaRequest{}, false
 	}
-	w := wish{unit: u, demand: d, urgent: d.Deadline}
+	w := replicaRequest{unit: u, demand: d, deadline: d.Deadline}
 	switch {
 	case usable == 0 && d.Waiting > 0:
-		w.why = fmt.Sprintf("%d requests wait", d.Waiting)
+		w.cause = fmt.Sprintf("%d requests wait", d.Waiting)
 		return w, true
 	case usable == 0 && u.Pinned:
-		w.why = "pinned"
-		w.urgent = in.Now.Add(time.Minute)
+		w.cause = "pinned"
+		w.deadline = in.Now.Add(time.Minute)
 		return w, true
 	case usable == 0:
 		return p.prewarm(in, u, d, w)
-	case d.Waiting > u.Concurrency*usable/2 && p.strained(in, u, d):
-		w.why = fmt.Sprintf("%d requests wait for %d replicas", d.Waiting, usable)
+	case d.Waiting > u.Concurrency*usable/2 && p.hasLongWait(in, u, d):
+		w.cause = fmt.Sprintf("%d requests wait for %d replicas", d.Waiting, usable)
 		return w, true
 	}
-	return wish{}, false
+	return replicaRequest{}, false
 }
 
-// strained reports whether requests have waited long beside a ready replica; the
-// wait for a cold start does not count.
-func (p *Planner) strained(in *Input, u *catalog.Unit, d demand.Demand) bool {
+// hasLongWait reports whether requests have waited longer than scaleUpDelay since
+// the last replica became ready. The wait for a cold start does not count.
+func (p *Planner) hasLongWait(in *Input, u *catalog.Unit, d demand.Demand) bool {
 	since := d.Since
 	for _, pl := range in.Ledger.Replicas[ledger.UnitVersion{Unit: u.Name, Version: u.Serving}] {
 		ready, ok := p.readySince[pl.Key]
@@ -150,40 +157,42 @@
 			since = ready
 		}
 	}
-	return in.Now.Sub(since) > secondReplicaAfter
+	return in.Now.Sub(since) > scaleUpDelay
 }
 
-// prewarm wants a replica back when the policy expects the next use.
-func (p *Planner) prewarm(in *Input, u *catalog.Unit, d demand.Demand, w wish) (wish, bool) {
+// prewarm returns a request for a unit without demand if the policy expects its
+// next use soon.
+func (p *Planner) prewarm(in *Input, u *catalog.Unit, d demand.Demand, w replicaRequest) (replicaRequest, bool) {
 	if d.LastUse.IsZero() {
-		return wish{}, false
+		return replicaRequest{}, false
 	}
-	said := p.decide(u.Name, p.share(in, u, u.Bytes(u.Serving)), in.Now.Sub(d.LastUse), in.Now)
-	if !said.Prewarm {
-		return wish{}, false
+	decision := p.askPolicy(u.Name, p.memoryShare(in, u, u.Bytes(u.Serving)), in.Now.Sub(d.LastUse), in.Now)
+	if !decision.Prewarm {
+		return replicaRequest{}, false
 	}
-	w.why = "expected soon: " + said.Why
-	// A replica that nobody waits for yet comes after those somebody waits for.
-	w.urgent = in.Now.Add(time.Hour)
+	w.cause = "expected soon: " + decision.Why
+	// Units with waiting requests have an earlier deadline and go first.
+	w.deadline = in.Now.Add(time.Hour)
 	return w, true
 }
 
-// count returns the replicas of the serving version that take requests, those
-// on the way, and all that are accounted.
-func (p *Planner) count(in *Input, u *catalog.Unit) (usable, coming, total int) {
+// countReplicas returns the numbers of placements of the unit's serving version:
+// ready ones on usable engines, queued or loading ones, and all in any phase.
+func (p *Planner) countReplicas(in *Input, u *catalog.Unit) (usable, loading, total int) {
 	for _, pl := range in.Ledger.Replicas[ledger.UnitVersion{Unit: u.Name, Version: u.Serving}] {
 		total++
 		switch {
 		case pl.Phase == ledger.Loading || pl.Phase == ledger.Queued:
-			coming++
+			loading++
 		case pl.Phase == ledger.Ready && p.usable(in, pl.Engine):
 			usable++
 		}
 	}
-	return usable, coming, total
+	return usable, loading, total
 }
 
-// usable reports whether an engine takes new work.
+// usable reports whether an engine can receive new placements and requests: it is
+// reachable with its registered incarnation and neither draining nor leaving.
 func (p *Planner) usable(in *Input, engine string) bool {
 	e := in.Ledger.Engines[engine]
 	soft := in.Engines[engine]
@@ -192,61 +201,67 @@
 }
 
 func (p *Planner) anyReady(in *Input, u *catalog.Unit) bool {
-	usable, _, _ := p.count(in, u)
+	usable, _, _ := p.countReplicas(in, u)
 	return usable > 0
 }
 
-func (p *Planner) placed(in *Input, u *catalog.Unit) int {
-	_, coming, total := p.count(in, u)
+// pendingReplicas returns the number of replicas in progress. At the replica limit
+// it returns all placements, because no further load can be proposed.
+func (p *Planner) pendingReplicas(in *Input, u *catalog.Unit) int {
+	_, loading, total := p.countReplicas(in, u)
 	if total >= u.MaxReplicas {
 		return total
 	}
-	return coming
+	return loading
 }
 
-// loadOne proposes a load, or the unloads that make room for it.
-func (p *Planner) loadOne(in *Input, w wish) []Action {
+// proposeLoad proposes a load on the best engine, or the unloads that make room
+// for it.
+func (p *Planner) proposeLoad(in *Input, w replicaRequest) []Action {
 	u := w.unit
-	cands := p.candidates(in, u)
+	cands := p.candidateEngines(in, u)
 	choice, ok := policy.Place(u.Bytes(u.Serving), cands)
 	if !ok {
-		p.reasons[u.Name] = fmt.Sprintf("%s, but no engine has or can free %d bytes", w.why, u.Bytes(u.Serving))
+		p.reasons[u.Name] = fmt.Sprintf("%s, but no engine has or can free %d bytes", w.cause, u.Bytes(u.Serving))
 		return nil
 	}
 	if len(choice.Evict) > 0 {
 		return p.evict(in, w, choice)
 	}
-	_, _, total := p.count(in, u)
-	p.reasons[u.Name] = "loads on " + choice.Engine + ": " + w.why
+	_, _, total := p.countReplicas(in, u)
+	p.reasons[u.Name] = "loads on " + choice.Engine + ": " + w.cause
 	return p.propose(in, &pb.Record{Body: &pb.Record_Load{Load: &pb.Load{
 		Unit: u.Name, Version: u.Serving, Engine: choice.Engine,
 		EngineIncarnation: in.Ledger.Engines[choice.Engine].Incarnation,
 		Want:              uint32(total + 1),
-		UrgentUnixMs:      w.urgent.UnixMilli(),
+		UrgentUnixMs:      w.deadline.UnixMilli(),
 	}}})
 }
 
-func (p *Planner) evict(in *Input, w wish, choice policy.Choice) []Action {
+// evict proposes the unloads of a choice. The load itself is proposed by a later
+// plan, once the unloads are done.
+func (p *Planner) evict(in *Input, w replicaRequest, choice policy.Choice) []Action {
 	var acts []Action
 	var out []policy.Victim
 	for _, v := range choice.Evict {
-		if len(v.First) > 0 {
-			// The base model goes in a later round, when its adapters are gone.
-			out = append(out, v.First...)
+		if len(v.Adapters) > 0 {
+			// The base model is unloaded by a later plan, after its adapters.
+			out = append(out, v.Adapters...)
 			continue
 		}
 		out = append(out, v)
 	}
 	for _, v := range out {
 		p.reasons[v.Unit] = "unloads on " + choice.Engine + " to make room for " + w.unit.Name
-		acts = append(acts, p.unload(in, ledger.Key{Unit: v.Unit, Version: v.Version, Engine: choice.Engine}, v.Fence)...)
+		acts = append(acts, p.proposeUnload(in, ledger.Key{Unit: v.Unit, Version: v.Version, Engine: choice.Engine}, v.Fence)...)
 	}
-	p.reasons[w.unit.Name] = fmt.Sprintf("waits for room on %s: %s", choice.Engine, w.why)
+	p.reasons[w.unit.Name] = fmt.Sprintf("waits for room on %s: %s", choice.Engine, w.cause)
 	return acts
 }
 
-// candidates returns the engines that a unit could be loaded on.
-func (p *Planner) candidates(in *Input, u *catalog.Unit) []policy.Candidate {
+// candidateEngines returns the engines that a unit could be loaded on, with or
+// without evictions, sorted by name.
+func (p *Planner) candidateEngines(in *Input, u *catalog.Unit) []policy.Candidate {
 	uv := ledger.UnitVersion{Unit: u.Name, Version: u.Serving}
 	replicas := in.Ledger.Replicas[uv]
 	halls := make(map[string]int)
@@ -268,16 +283,17 @@
 			tier = policy.OnDisk
 		}
 		out = append(out, policy.Candidate{
-			Engine: name, Free: e.MemoryBytes - e.Used, Tier: tier, HallReplicas: halls[e.Hall], Busy: busy(in, e),
-			Tie: rendezvous.Score(u.Name, name), Victims: p.victims(in, e, u),
+			Engine: name, Free: e.MemoryBytes - e.Used, Tier: tier, HallReplicas: halls[e.Hall], BusyUnits: busyUnits(in, e),
+			TieBreak: rendezvous.Score(u.Name, name), Victims: p.victims(in, e, u),
 		})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Engine < out[j].Engine })
 	return out
 }
 
-// busy counts the units on an engine that have work.
-func busy(in *Input, e *ledger.Engine) int {
+// busyUnits returns the number of units on an engine that have waiting or running
+// requests.
+func busyUnits(in *Input, e *ledger.Engine) int {
 	n := 0
 	for uv := range e.Placements {
 		if d := in.Demand.Get(uv.Unit, in.Now); d.Waiting+d.Running > 0 {
@@ -296,9 +312,9 @@
 	return pl != nil && pl.Phase == ledger.Ready
 }
 
-// victims returns the replicas on an engine that nothing uses and that the
-// unit does not need itself. A base model comes with its adapters: it can go
-// when none of them is in use.
+// victims returns the idle replicas on an engine that could be evicted for unit u,
+// sorted by unit; u's own base model is not among them. A base model includes its
+// adapters and can be evicted only if all of them can.
 func (p *Planner) victims(in *Input, e *ledger.Engine, u *catalog.Unit) []policy.Victim {
 	single := make(map[string]policy.Victim)
 	for uv, pl := range e.Placements {
@@ -308,18 +324,18 @@
 	}
 	var out []policy.Victim
 	for name, v := range single {
-		whole := true
+		evictable := true
 		for uv := range e.Placements {
 			if au := in.Ledger.Catalog.Units[uv.Unit]; au == nil || au.Base != name {
 				continue
 			}
 			adapter, ok := single[uv.Unit]
-			whole = whole && ok
-			v.First = append(v.First, adapter)
+			evictable = evictable && ok
+			v.Adapters = append(v.Adapters, adapter)
 			v.Bytes += adapter.Bytes
-			v.Loss += adapter.Loss
+			v.ReloadCost += adapter.ReloadCost
 		}
-		if whole {
+		if evictable {
 			out = append(out, v)
 		}
 	}
@@ -327,7 +343,8 @@
 	return out
 }
 
-// victim returns one replica as a victim, if nothing uses it.
+// victim returns a replica as an eviction victim for unit u, and false if the
+// replica is in use, pinned or not ready, or is the base model of u.
 func (p *Planner) victim(in *Input, pl *ledger.Placement, u *catalog.Unit) (policy.Victim, bool) {
 	if pl.Phase != ledger.Ready || pl.Unit == u.Base {
 		return policy.Victim{}, false
@@ -337,10 +354,10 @@
 	if d.Waiting+d.Running > 0 || (vu != nil && vu.Pinned) {
 		return policy.Victim{}, false
 	}
-	idle := p.idle(in, pl, d)
+	idle := p.idleTime(in, pl, d)
 	return policy.Victim{
 		Unit: pl.Unit, Version: pl.Version, Bytes: pl.Bytes, Fence: pl.Fence,
-		Idle: idle, Loss: p.Policy.Loss(pl.Unit, idle, in.Now),
+		Idle: idle, ReloadCost: p.Policy.Loss(pl.Unit, idle, in.Now),
 	}, true
 }
 
@@ -353,8 +370,9 @@
 	return false
 }
 
-// idle returns how long a replica has not been used, as far as this node knows.
-func (p *Planner) idle(in *Input, pl *ledger.Placement, d demand.Demand) time.Duration {
+// idleTime returns the time since the last known use of a replica or, if it is
+// later, since this node first saw the replica ready.
+func (p *Planner) idleTime(in *Input, pl *ledger.Placement, d demand.Demand) time.Duration {
 	since, ok := p.readySince[pl.Key]
 	if !ok {
 		since = in.Now
@@ -366,8 +384,9 @@
 	return in.Now.Sub(since)
 }
 
-// share is the part of an engine's memory that bytes take.
-func (p *Planner) share(in *Input, u *catalog.Unit, bytes uint64) float64 {
+// memoryShare returns the fraction of engine memory that bytes take, relative to
+// the largest engine that holds a replica of the unit; 1 if none does.
+func (p *Planner) memoryShare(in *Input, u *catalog.Unit, bytes uint64) float64 {
 	var largest uint64
 	for _, pl := range in.Ledger.Replicas[ledger.UnitVersion{Unit: u.Name, Version: u.Serving}] {
 		if e := in.Ledger.Engines[pl.Engine]; e != nil {
--- a/core/plan/orders.go
+++ b/core/plan/orders.go
@@ -7,52 +7,56 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// openOrders returns what the placements that are not ready ask for: the orders
-// of which this node is the executor, takeovers, and ends of quarantine.
-func (p *Planner) openOrders(in *Input) []Action {
+// orderActions returns the actions for all placements that are not ready: the
+// orders that this node executes, and takeovers of unfinished orders and of
+// placements whose quarantine has ended.
+func (p *Planner) orderActions(in *Input) []Action {
 	var acts []Action
 	for _, k := range sortedKeys(in.Ledger.Open) {
 		pl := in.Ledger.Open[k]
-		w := p.watch(in, pl)
+		o := p.observe(in, pl)
 		switch {
 		case pl.Phase == ledger.Queued:
 		case pl.Phase == ledger.Quarantined:
-			acts = append(acts, p.quarantined(in, pl, w)...)
+			acts = append(acts, p.quarantineActions(in, pl, o)...)
 		case pl.Executor == p.Self:
 			acts = append(acts, p.ownOrder(in, pl)...)
-		case p.mayTakeOver(in, pl, w):
-			acts = append(acts, p.takeover(in, pl)...)
+		case p.shouldTakeOver(in, pl, o):
+			acts = append(acts, p.proposeTakeover(in, pl)...)
 		}
 	}
 	return acts
 }
 
-func (p *Planner) watch(in *Input, pl *ledger.Placement) watch {
-	w, ok := p.watched[pl.Key]
-	if !ok || w.fence != pl.Fence {
-		w = watch{fence: pl.Fence, since: in.Now}
-		p.watched[pl.Key] = w
+// observe returns since when this node has seen the current order of a placement,
+// and records the time if it sees the order for the first time.
+func (p *Planner) observe(in *Input, pl *ledger.Placement) observedOrder {
+	o, ok := p.observed[pl.Key]
+	if !ok || o.fence != pl.Fence {
+		o = observedOrder{fence: pl.Fence, since: in.Now}
+		p.observed[pl.Key] = o
 	}
 	if pl.Phase == ledger.Loading {
 		if _, ok := p.loadSince[pl.Key]; !ok {
 			p.loadSince[pl.Key] = in.Now
 		}
 	}
-	return w
+	return o
 }
 
-// ownOrder returns the order while its lease holds. After that the node takes
-// its own order over, which gives it a new fence and a new lease.
+// ownOrder returns an order that this node executes, while its lease lasts. After
+// that it proposes a takeover of the order by the node itself, which gives the
+// order a new fence and a new lease.
 func (p *Planner) ownOrder(in *Input, pl *ledger.Placement) []Action {
 	l, ok := p.leases[pl.Key]
 	if e := in.Ledger.Engines[pl.Engine]; pl.Phase == ledger.Loading && e.ChecksFences && l.fence != pl.Fence {
-		// A slot came free for a load that was queued. Where the engine itself
-		// refuses old fences, the lease may run from when this node saw that.
+		// A queued load was granted a slot, and with it a new fence. If the engine
+		// refuses old fences itself, the lease may start when this node sees the grant.
 		l, ok = lease{fence: pl.Fence, end: in.Now.Add(Lease)}, true
 		p.leases[pl.Key] = l
 	}
-	if !ok || l.fence != pl.Fence || l.end.IsZero() || in.Now.Sub(p.watched[pl.Key].since) > OrderLimit {
-		return p.takeover(in, pl)
+	if !ok || l.fence != pl.Fence || l.end.IsZero() || in.Now.Sub(p.observed[pl.Key].since) > OrderLimit {
+		return p.proposeTakeover(in, pl)
 	}
 	return []Action{{Order: p.order(in, pl, l)}}
 }
@@ -70,36 +74,41 @@
 	return o
 }
 
-// takeover proposes to become the executor, or to renew an own lease.
-func (p *Planner) takeover(in *Input, pl *ledger.Placement) []Action {
+// proposeTakeover proposes this node as the executor of an order. If it is the
+// executor already, the takeover renews its lease.
+func (p *Planner) proposeTakeover(in *Input, pl *ledger.Placement) []Action {
 	return p.propose(in, &pb.Record{Body: &pb.Record_Takeover{Takeover: &pb.Takeover{
 		Unit: pl.Unit, Version: pl.Version, Engine: pl.Engine, Fence: pl.Fence,
 	}}})
 }
 
-// Lapse makes the next plan renew the lease of an own order, because it ended,
-// or the engine holds a higher fence, before the order took effect.
-func (p *Planner) Lapse(k ledger.Key) {
+// ExpireLease ends the lease of an order that this node executes, so that the next
+// plan renews it by a takeover. The controller calls it if the lease ran out, the
+// engine reported a higher fence or the engine refused an unload.
+func (p *Planner) ExpireLease(k ledger.Key) {
 	l := p.leases[k]
 	l.end = time.Time{}
 	p.leases[k] = l
 }
 
-// mayTakeOver reports whether this node should become the executor.
-func (p *Planner) mayTakeOver(in *Input, pl *ledger.Placement, w watch) bool {
+// shouldTakeOver reports whether this node should propose itself as the executor
+// of an order: as the home of the unit, if the order has been open for OrderLimit,
+// or if the executor is dead and can no longer send the order with effect.
+func (p *Planner) shouldTakeOver(in *Input, pl *ledger.Placement, o observedOrder) bool {
 	if !p.isHome(in, pl.Unit) {
 		return false
 	}
-	watched := in.Now.Sub(w.since)
-	if watched > OrderLimit {
+	age := in.Now.Sub(o.since)
+	if age > OrderLimit {
 		return true
 	}
 	if in.Alive(pl.Executor) {
 		return false
 	}
-	return in.Ledger.Engines[pl.Engine].ChecksFences || watched > TakeoverAfter
+	return in.Ledger.Engines[pl.Engine].ChecksFences || age > TakeoverAfter
 }
 
+// isHome reports whether this node is the home of a unit.
 func (p *Planner) isHome(in *Input, unit string) bool {
 	key := unit
 	if u := in.Ledger.Catalog.Units[unit]; u != nil {
@@ -108,12 +117,12 @@
 	return p.Home(key) == p.Self.Node
 }
 
-// quarantined returns what a placement in quarantine asks for. Once it has been
-// watched long enough no late order is under way any more, but one may have
-// arrived: a node takes the placement over and makes the engine confirm that it
-// does not hold the replica. If that fails, the quarantine begins anew with the
-// fence of the takeover.
-func (p *Planner) quarantined(in *Input, pl *ledger.Placement, w watch) []Action {
+// quarantineActions returns the actions for a quarantined placement. After the
+// time Quarantine no earlier order can be in transit any more, but one may have
+// reached the engine: the home takes the placement over and sends an unload, so
+// that the engine confirms that it does not hold the replica. If that fails, the
+// quarantine starts again with the fence of the takeover.
+func (p *Planner) quarantineActions(in *Input, pl *ledger.Placement, observed observedOrder) []Action {
 	if pl.Executor == p.Self {
 		l := p.leases[pl.Key]
 		if l.fence != pl.Fence || in.Now.After(l.end) {
@@ -123,8 +132,8 @@
 		o.Unload, o.Cleanup = true, true
 		return []Action{{Order: o}}
 	}
-	if !p.isHome(in, pl.Unit) || in.Now.Sub(w.since) < Quarantine {
+	if !p.isHome(in, pl.Unit) || in.Now.Sub(observed.since) < Quarantine {
 		return nil
 	}
-	return p.takeover(in, pl)
+	return p.proposeTakeover(in, pl)
 }
--- a/core/plan/subject.go
+++ b/core/plan/subject.go
@@ -5,11 +5,12 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// subject names what a proposal is about: a node has at most one proposal on a
-// subject under way.
+// subject returns the key by which pending proposals are deduplicated: a node has
+// at most one undecided proposal per subject. It is empty for records that the
+// planner does not propose.
 func subject(r *pb.Record) string {
 	if l := r.GetLoad(); l != nil {
-		// Whatever engine it names, one load of a unit is proposed at a time.
+		// The engine is left out: one load of a unit is proposed at a time.
 		return "load " + l.GetUnit() + "@" + l.GetVersion()
 	}
 	if k, ok := placementKey(r); ok {
@@ -24,24 +25,25 @@
 	return ""
 }
 
-// placementKey returns the placement that a proposal is about, if it is about one.
+// placementKey returns the key of the placement that a proposal changes, and false
+// if it changes none.
 func placementKey(r *pb.Record) (ledger.Key, bool) {
-	var about interface {
+	var body interface {
 		GetUnit() string
 		GetVersion() string
 		GetEngine() string
 	}
 	switch b := r.GetBody().(type) {
 	case *pb.Record_Load:
-		about = b.Load
+		body = b.Load
 	case *pb.Record_Takeover:
-		about = b.Takeover
+		body = b.Takeover
 	case *pb.Record_Unload:
-		about = b.Unload
+		body = b.Unload
 	case *pb.Record_QuarantineEnd:
-		about = b.QuarantineEnd
+		body = b.QuarantineEnd
 	default:
 		return ledger.Key{}, false
 	}
-	return ledger.Key{Unit: about.GetUnit(), Version: about.GetVersion(), Engine: about.GetEngine()}, true
+	return ledger.Key{Unit: body.GetUnit(), Version: body.GetVersion(), Engine: body.GetEngine()}, true
 }
--- a/core/plan/unloads.go
+++ b/core/plan/unloads.go
@@ -10,29 +10,33 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// unloads proposes to remove the replicas that nothing holds any longer.
-func (p *Planner) unloads(in *Input) []Action {
+// unloadActions proposes to unload ready replicas that the planner no longer
+// keeps, and to cancel queued loads that are no longer wanted. It covers the units
+// whose home is this node.
+func (p *Planner) unloadActions(in *Input) []Action {
 	var acts []Action
 	for _, uv := range p.loadedUnits(in) {
 		for _, engine := range sortedNames(in.Ledger.Replicas[uv]) {
 			pl := in.Ledger.Replicas[uv][engine]
 			if pl.Phase == ledger.Queued && p.unwanted(in, uv.Unit) {
-				acts = append(acts, p.unload(in, pl.Key, pl.Fence)...)
+				acts = append(acts, p.proposeUnload(in, pl.Key, pl.Fence)...)
 			}
 			if pl.Phase != ledger.Ready {
 				continue
 			}
-			held, why := p.held(in, pl)
+			keep, why := p.shouldKeep(in, pl)
 			p.reasons[uv.Unit] = why
-			if !held {
-				acts = append(acts, p.unload(in, pl.Key, pl.Fence)...)
+			if !keep {
+				acts = append(acts, p.proposeUnload(in, pl.Key, pl.Fence)...)
 			}
 		}
 	}
 	return acts
 }
 
-// unwanted reports whether a load that still waits for a slot has lost its cause.
+// unwanted reports whether a queued load of the unit can be cancelled: the unit is
+// banned or no longer configured, or it is not pinned, no request waits for it and
+// it was last used longer ago than the TTL of a demand report.
 func (p *Planner) unwanted(in *Input, unit string) bool {
 	u := in.Ledger.Catalog.Units[unit]
 	if u == nil || u.Banned {
@@ -42,8 +46,8 @@
 	return !u.Pinned && d.Waiting == 0 && in.Now.Sub(d.LastUse) > demand.Life
 }
 
-// loadedUnits returns, in order, what is placed of the units whose home this
-// node is.
+// loadedUnits returns, sorted, the versions with at least one placement of the
+// units whose home is this node.
 func (p *Planner) loadedUnits(in *Input) []ledger.UnitVersion {
 	out := make([]ledger.UnitVersion, 0, len(in.Ledger.Replicas))
 	for uv := range in.Ledger.Replicas {
@@ -69,21 +73,22 @@
 	return out
 }
 
-func (p *Planner) unload(in *Input, k ledger.Key, fence uint64) []Action {
+func (p *Planner) proposeUnload(in *Input, k ledger.Key, fence uint64) []Action {
 	return p.propose(in, &pb.Record{Body: &pb.Record_Unload{Unload: &pb.Unload{
 		Unit: k.Unit, Version: k.Version, Engine: k.Engine, Fence: fence,
 	}}})
 }
 
-// held reports whether a ready replica is kept, and why or why not.
-func (p *Planner) held(in *Input, pl *ledger.Placement) (bool, string) {
+// shouldKeep reports whether a ready replica stays loaded, with the reason that
+// operators see in the unit's status.
+func (p *Planner) shouldKeep(in *Input, pl *ledger.Placement) (bool, string) {
 	e := in.Ledger.Engines[pl.Engine]
 	if hasAdapters(in, e, pl.Unit) {
 		return true, "kept: adapters are loaded beside it"
 	}
 	u := in.Ledger.Catalog.Units[pl.Unit]
 	d := in.Demand.Get(pl.Unit, in.Now)
-	idle := p.idle(in, pl, d)
+	idle := p.idleTime(in, pl, d)
 	soft := in.Engines[pl.Engine]
 	switch {
 	case u == nil || u.Versions[pl.Version] == 0:
@@ -102,9 +107,9 @@
 	case d.Waiting+d.Running > 0:
 		return true, fmt.Sprintf("kept: %d requests wait, %d run", d.Waiting, d.Running)
 	}
-	said := p.decide(pl.Unit, p.share(in, u, pl.Bytes), idle, in.Now)
-	if said.Hold {
-		return true, "kept: " + said.Why
+	decision := p.askPolicy(pl.Unit, p.memoryShare(in, u, pl.Bytes), idle, in.Now)
+	if decision.Hold {
+		return true, "kept: " + decision.Why
 	}
-	return false, fmt.Sprintf("unloads: idle for %s; %s", idle.Round(time.Second), said.Why)
+	return false, fmt.Sprintf("unloads: idle for %s; %s", idle.Round(time.Second), decision.Why)
 }
--- a/core/policy/doc.go
+++ b/core/policy/doc.go
@@ -1,15 +1,20 @@
-// Package policy decides how long a replica stays loaded without use, when it is
-// loaded before anybody asks, where a load goes and what makes room for it.
+// Package policy decides how long an idle replica stays loaded, when a unit is
+// loaded before it is requested (prewarming), on which engine a load is placed
+// and which replicas are evicted for it. The planner (package plan) calls it.
 //
-// The problem: tail cold-start time and idle accelerator hours pull against
-// each other, and each deployment weighs them in its own way. The model: both
-// are costs. A second that a request waits for a cold start costs
-// [Weights.ColdStartSecond], an accelerator hour held idle [Weights.IdleHour];
-// every decision takes the smaller expected cost.
+// Tail latency of cold starts and idle accelerator hours are opposite goals, and
+// each deployment weighs them differently. Both are therefore expressed as costs:
+// each second that a request waits for a cold start costs
+// [Weights.ColdStartSecond], each accelerator hour held idle costs
+// [Weights.IdleHour]. Every decision takes the option with the lower expected
+// cost.
 //
-// [Learner] keeps for each unit how long its pauses last, at what time of day it
-// wakes, how long its loads take and how many requests a cold start keeps
-// waiting. [Costed] asks of a unit that nothing uses: is there a time ahead
-// within which its next use is likely enough to pay for holding it until then?
-// Everything is pure: time comes in as an argument.
+// [Learner] learns for each unit the distribution of pauses between uses, the
+// times of day at which its use starts, its load time and the number of requests
+// that a cold start delays. [Costed] keeps an idle unit loaded if there is a
+// horizon within which the next use is likely enough to pay for the idle time
+// until then. [Place] chooses the engine and the evictions. [Fixed] is the
+// baseline with a constant keep time.
+//
+// The package reads no clock and does no I/O; times are arguments.
 package policy
--- a/core/policy/place.go
+++ b/core/policy/place.go
@@ -6,58 +6,66 @@
 	"time"
 )
 
-// Tier is where an engine would take a checkpoint from.
+// Tier is the storage tier from which an engine would load a checkpoint.
 type Tier uint8
 
-// Tiers, fastest first.
+// The storage tiers, fastest first: the engine's host memory, its local disk and
+// the remote weight store.
 const (
 	InMemory Tier = iota
 	OnDisk
 	Remote
 )
 
-// Candidate is one engine a load could go to.
+// Candidate is an engine on which a unit could be loaded.
 type Candidate struct {
 	Engine string
-	// Free is the memory not accounted.
+	// Free is the engine's unaccounted memory in bytes.
 	Free uint64
-	// Tier is where the checkpoint is, as far as known.
+	// Tier is the fastest tier known to hold the checkpoint.
 	Tier Tier
-	// Busy counts the units on the engine that have requests waiting or running.
-	Busy int
-	// HallReplicas counts the unit's replicas in the engine's data hall.
+	// BusyUnits is the number of units on the engine with waiting or running
+	// requests.
+	BusyUnits int
+	// HallReplicas is the number of the unit's replicas in the engine's data hall.
 	HallReplicas int
-	// Tie orders engines that are alike otherwise. It differs from unit to unit,
-	// so that homes that decide at the same moment choose different engines.
-	Tie uint64
-	// Victims are the replicas that could be unloaded here.
+	// TieBreak orders engines that are equal otherwise; the highest is chosen. It
+	// differs from unit to unit, so that homes that decide at the same moment choose
+	// different engines.
+	TieBreak uint64
+	// Victims holds the replicas on the engine that could be evicted.
 	Victims []Victim
 }
 
-// Victim is one replica that nothing runs on.
+// Victim is an idle replica that could be evicted.
 type Victim struct {
 	Unit, Version string
-	Bytes         uint64
-	Fence         uint64
-	// Idle is how long it has not been used.
+	// Bytes is the engine memory that the eviction frees.
+	Bytes uint64
+	// Fence is the current fence of the replica's placement.
+	Fence uint64
+	// Idle is the time since the replica's last use.
 	Idle time.Duration
-	// Loss is the expected cost of having to load it again.
-	Loss float64
-	// First holds the adapters that must go before it; Bytes and Loss count them.
-	First []Victim
+	// ReloadCost is the expected cost of loading the replica again.
+	ReloadCost float64
+	// Adapters holds the adapters that must be unloaded before the replica, if it is
+	// a base model. They are included in Bytes and ReloadCost.
+	Adapters []Victim
 }
 
-// Choice is where a load goes and what must be unloaded first.
+// Choice is the engine chosen for a load and the evictions that it needs.
 type Choice struct {
 	Engine string
-	// Evict is empty when there is room already.
+	// Evict holds the replicas to unload first; empty if there is room already.
 	Evict []Victim
 }
 
-// Place returns the best engine for need bytes; ok is false when none could
-// make room. A nearer checkpoint beats an engine with less to do, which beats
-// spread over data halls, which beats a snug fit: idle replicas packed together
-// hold fewer accelerators idle.
+// Place returns the best engine for a unit of need bytes, and false if no engine
+// has or can free that much. Engines with room are compared first by the tier of
+// the checkpoint, then by load, then by the unit's replicas in the data hall, then
+// by the tightest fit: packing idle replicas together leaves more accelerators
+// free. Without room anywhere, the engine with the least reload cost of its
+// evictions is chosen.
 func Place(need uint64, cands []Candidate) (Choice, bool) {
 	best := -1
 	for i := range cands {
@@ -74,15 +82,16 @@
 	return placeByEviction(need, cands)
 }
 
-// busyStep is how many units with work an engine may have before another is
-// preferred for it.
-const busyStep = 3
+// busyUnitsPerLevel is the number of busy units per load level. Engines of the
+// same level count as equally loaded.
+const busyUnitsPerLevel = 3
 
+// better reports whether candidate a, which has room, is preferred to b.
 func better(a, b *Candidate) bool {
 	if a.Tier != b.Tier {
 		return a.Tier < b.Tier
 	}
-	if x, y := a.Busy/busyStep, b.Busy/busyStep; x != y {
+	if x, y := a.BusyUnits/busyUnitsPerLevel, b.BusyUnits/busyUnitsPerLevel; x != y {
 		return x < y
 	}
 	if a.HallReplicas != b.HallReplicas {
@@ -91,17 +100,19 @@
 	if a.Free != b.Free {
 		return a.Free < b.Free
 	}
-	if a.Tie != b.Tie {
-		return a.Tie > b.Tie
+	if a.TieBreak != b.TieBreak {
+		return a.TieBreak > b.TieBreak
 	}
 	return a.Engine < b.Engine
 }
 
+// placeByEviction returns the engine on which need bytes can be freed at the least
+// reload cost.
 func placeByEviction(need uint64, cands []Candidate) (Choice, bool) {
 	var best Choice
 	bestLoss, found := 0.0, false
 	for i := range cands {
-		evict, loss, ok := cheapest(need, &cands[i])
+		evict, loss, ok := cheapestEviction(need, &cands[i])
 		if !ok {
 			continue
 		}
@@ -113,11 +124,13 @@
 	return best, found
 }
 
-// cheapest frees need bytes by taking the victims of least loss per byte.
-func cheapest(need uint64, c *Candidate) (evict []Victim, loss float64, ok bool) {
+// cheapestEviction selects victims by rising reload cost per byte until need bytes
+// are free; ok is false if all victims together are not enough. Victims with an
+// infinite reload cost are never selected.
+func cheapestEviction(need uint64, c *Candidate) (evict []Victim, loss float64, ok bool) {
 	vs := append([]Victim(nil), c.Victims...)
 	sort.Slice(vs, func(i, j int) bool {
-		a, b := vs[i].Loss/float64(vs[i].Bytes), vs[j].Loss/float64(vs[j].Bytes)
+		a, b := vs[i].ReloadCost/float64(vs[i].Bytes), vs[j].ReloadCost/float64(vs[j].Bytes)
 		if a != b {
 			return a < b
 		}
@@ -129,12 +142,12 @@
 		if free >= need {
 			break
 		}
-		if gone[v.Unit] || math.IsInf(v.Loss, 1) {
+		if gone[v.Unit] || math.IsInf(v.ReloadCost, 1) {
 			continue
 		}
-		for _, f := range v.First {
+		for _, f := range v.Adapters {
 			if gone[f.Unit] {
-				// It was taken alone already.
+				// The adapter was selected on its own before.
 				v.Bytes -= f.Bytes
 			}
 			gone[f.Unit] = true
@@ -142,7 +155,7 @@
 		gone[v.Unit] = true
 		evict = append(evict, v)
 		free += v.Bytes
-		loss += v.Loss
+		loss += v.ReloadCost
 	}
 	return evict, loss, free >= need
 }
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -10,10 +10,11 @@
 
 const gib = 1 << 30
 
-// TestPlace gives small situations with the one right engine.
+// TestPlace checks the engine and the evictions that Place chooses for a unit of
+// 10 GiB, one criterion per case.
 func TestPlace(t *testing.T) {
 	idle := func(unit string, size uint64, loss float64) Victim {
-		return Victim{Unit: unit, Bytes: size * gib, Loss: loss}
+		return Victim{Unit: unit, Bytes: size * gib, ReloadCost: loss}
 	}
 	tests := []struct {
 		name  string
@@ -25,7 +26,7 @@
 		{"the only one with room", []Candidate{{Engine: "a", Free: gib}, {Engine: "b", Free: 20 * gib}}, "b", nil, true},
 		{"checkpoint on disk beats a snug fit", []Candidate{{Engine: "a", Free: 10 * gib, Tier: Remote}, {Engine: "b", Free: 40 * gib, Tier: OnDisk}}, "b", nil, true},
 		{"another hall for a second replica", []Candidate{{Engine: "a", Free: 10 * gib, HallReplicas: 1, Tier: Remote}, {Engine: "b", Free: 40 * gib, Tier: Remote}}, "b", nil, true},
-		{"not where much runs", []Candidate{{Engine: "a", Free: 10 * gib, Busy: 3}, {Engine: "b", Free: 40 * gib}}, "b", nil, true},
+		{"not where much runs", []Candidate{{Engine: "a", Free: 10 * gib, BusyUnits: 3}, {Engine: "b", Free: 40 * gib}}, "b", nil, true},
 		{"the snug fit", []Candidate{{Engine: "a", Free: 40 * gib}, {Engine: "b", Free: 12 * gib}}, "b", nil, true},
 		{"evict the least loss for its bytes", []Candidate{{Engine: "a", Victims: []Victim{idle("x", 10, 5), idle("y", 10, 1)}}}, "a", []string{"y"}, true},
 		{"evict on the engine of least loss", []Candidate{{Engine: "a", Victims: []Victim{idle("x", 10, 5)}}, {Engine: "b", Victims: []Victim{idle("y", 10, 1)}}}, "b", []string{"y"}, true},
@@ -49,12 +50,12 @@
 	}
 }
 
-// monday is the first of a run of weekdays.
+// monday is the start of the first day of the recorded uses.
 var monday = time.Date(2026, 6, 1, 0, 0, 0, 0, time.UTC)
 
-// taught returns a policy that has seen a unit wake at nine on five weekdays for
-// a session of ten uses, with loads of 20 s.
-func taught(idleHour float64) *Costed {
+// newTrainedPolicy returns a policy with five recorded sessions of a unit, shortly
+// after nine on five weekdays, of ten uses each, and a load time of 20 s.
+func newTrainedPolicy(idleHour float64) *Costed {
 	c := NewCosted(Weights{ColdStartSecond: 1, IdleHour: idleHour})
 	c.Loaded("u", 20*time.Second)
 	for day := range 5 {
@@ -66,7 +67,8 @@
 	return c
 }
 
-// TestDecide asks about a unit that wakes at nine on weekdays.
+// TestDecide checks whether a unit that is used shortly after nine on weekdays is
+// kept or prewarmed at other times and with other idle costs.
 func TestDecide(t *testing.T) {
 	nextMonday := monday.Add(7 * 24 * time.Hour)
 	tests := []struct {
@@ -87,7 +89,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			got := taught(tc.idleHour).Decide("u", 0.5, tc.idle, tc.now)
+			got := newTrainedPolicy(tc.idleHour).Decide("u", 0.5, tc.idle, tc.now)
 			if got.Hold != tc.hold {
 				t.Errorf("hold = %t, want %t: %s", got.Hold, tc.hold, got.Why)
 			}
--- a/core/policy/weights.go
+++ b/core/policy/weights.go
@@ -1,6 +1,7 @@
 package policy
 
-// Weights are a deployment's costs of the two measures.
+// Weights are the costs that a deployment assigns to cold starts and to idle
+// accelerators, in one unit of its choice.
 type Weights struct {
 	// ColdStartSecond is the cost of one second that one request waits for a
 	// cold start.
@@ -9,16 +10,15 @@
 	IdleHour float64
 }
 
-// DefaultWeights hold where the configuration sets none.
+// DefaultWeights are used if the configuration sets no weights.
 var DefaultWeights = Weights{ColdStartSecond: 1, IdleHour: 100}
 
-// Decision is what a policy says of a replica that nothing uses, or of a unit
-// that has none.
+// Decision is the decision of a policy on an idle unit.
 type Decision struct {
-	// Hold keeps a replica that is loaded.
+	// Hold is true if a loaded replica stays loaded.
 	Hold bool
-	// Prewarm loads one that is not, before anybody asks.
+	// Prewarm is true if the unit is to be loaded although no request waits for it.
 	Prewarm bool
-	// Why says it to operators.
+	// Why explains the decision to operators.
 	Why string
 }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -234,7 +234,7 @@
 		return
 	}
 	if now.After(o.LeaseEnd) {
-		c.planner.Lapse(o.Key)
+		c.planner.ExpireLease(o.Key)
 		return
 	}
 	c.orders[o.Key] = o.Fence
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -89,12 +89,12 @@
 		c.Submit(loadDone(o, m.unsure))
 	case errors.Is(m.err, errLapsed), errors.Is(m.err, engine.ErrStaleFence):
 		log.Warn("order lapsed; taking it over", "cause", m.err.Error())
-		c.planner.Lapse(o.Key)
+		c.planner.ExpireLease(o.Key)
 	case errors.Is(m.err, engine.ErrReplaced):
 		log.Warn("engine was replaced during an order")
 	case o.Unload:
 		log.Warn("unload refused; repeating", "cause", m.err.Error())
-		c.planner.Lapse(o.Key)
+		c.planner.ExpireLease(o.Key)
 	default:
 		log.Warn("load failed", "cause", m.err.Error())
 		c.Submit(loadFailed(o, m.err, m.unsure))
