--- a/core/ledger/doc.go
+++ b/core/ledger/doc.go
@@ -15,7 +15,7 @@
 // no clock, draws no random number and does no I/O, so every node that applies
 // the same records is in the same state; the offset order of the log is the
 // only agreement that the nodes need. The tests call the applied sequence of
-// records a history, and the whole computation the fold.
+// records a history.
 //
 // The rules, each with the guard that enforces it:
 //
--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -2,22 +2,22 @@
 
 import "context"
 
-// question asks the control goroutine for something it owns.
-type question[T any] struct {
+// query is a message that reads the state of the control goroutine.
+type query[T any] struct {
 	answer func(c *Controller) T
 	reply  chan T
 }
 
-func (m question[T]) handle(c *Controller) { m.reply <- m.answer(c) }
+func (m query[T]) handle(c *Controller) { m.reply <- m.answer(c) }
 
-// ask returns what the control goroutine answers; ok is false when the context
-// ended first. The answer must not share state that the goroutine goes on to
-// change.
+// ask runs answer in the control goroutine and returns its result; ok is false if
+// the context ended first. The result must not share state that the control
+// goroutine modifies later.
 func ask[T any](ctx context.Context, c *Controller, answer func(c *Controller) T) (got T, ok bool) {
-	// The channel has room, so that the control goroutine never waits for a
-	// caller that has gone.
+	// The channel is buffered, so that the control goroutine never waits for a
+	// caller that gave up.
 	reply := make(chan T, 1)
-	c.inbox.Send(ctx, question[T]{answer: answer, reply: reply})
+	c.inbox.Send(ctx, query[T]{answer: answer, reply: reply})
 	select {
 	case got = <-reply:
 		return got, true
--- a/internal/control/boot.go
+++ b/internal/control/boot.go
@@ -11,32 +11,34 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Times of a boot.
+// Delays, timeouts and page size of the boot.
 const (
-	bootRetry    = 300 * time.Millisecond
-	bootPage     = 64
-	bootLogWait  = 3 * time.Second
-	listPatience = 3 * time.Second
+	bootRetryDelay = 300 * time.Millisecond
+	bootPageSize   = 64 // log entries per read
+	bootLogWait    = 3 * time.Second
+	listWait       = 3 * time.Second
 )
 
-// bootAndTail takes the newest state there is and then follows the log.
+// bootAndTail starts from the newest available state and then tails the log until
+// the context ends.
 func (c *Controller) bootAndTail(ctx context.Context) {
 	c.awaitList(ctx)
 	for ctx.Err() == nil {
-		if s, target, ok := c.newestState(ctx); ok {
+		if s, target, ok := c.fetchNewestState(ctx); ok {
 			c.next.Store(s.NextOffset)
 			c.inbox.Send(ctx, bootState{state: s, target: target})
 			break
 		}
-		c.Logger.Warn("no state to start from; trying again", "remedy", "the log service or a peer must be reachable")
-		c.pause(ctx, bootRetry)
+		c.Logger.Warn("no state available to start from; retrying", "remedy", "the log service or a peer must be reachable")
+		c.pause(ctx, bootRetryDelay)
 	}
-	logservice.Tail(ctx, c.Log, c.Clock, c, c.tailsNow)
+	logservice.Tail(ctx, c.Log, c.Clock, c, c.shouldTail)
 }
 
-// awaitList waits a little for the first list, so that peers can be asked.
+// awaitList waits up to listWait for the first instance list, which names the
+// peers to fetch a state from.
 func (c *Controller) awaitList(ctx context.Context) {
-	until := c.Clock.Now().Add(listPatience)
+	until := c.Clock.Now().Add(listWait)
 	for ctx.Err() == nil && c.Clock.Now().Before(until) {
 		if read, ok := ask(ctx, c, func(c *Controller) bool { return c.listRead }); read || !ok {
 			return
@@ -45,10 +47,11 @@
 	}
 }
 
-// newestState returns the newest of what the log and the peers have, and the
-// offset up to which the node must fold before it serves. ok is false when
-// neither can say what has been decided.
-func (c *Controller) newestState(ctx context.Context) (best *ledger.State, target uint64, ok bool) {
+// fetchNewestState returns the newest state among the start of the log, its latest
+// snapshot and the states of the peers, and the offset up to which this node must
+// apply the log before it serves. ok is false if neither the log nor a peer yields
+// a state.
+func (c *Controller) fetchNewestState(ctx context.Context) (best *ledger.State, target uint64, ok bool) {
 	logCtx, cancel := context.WithTimeout(ctx, bootLogWait)
 	defer cancel()
 	page, logErr := c.Log.Read(logCtx, 0, 0, 1)
@@ -57,11 +60,11 @@
 		if page.Earliest == 0 {
 			best = ledger.NewState()
 		}
-		if s := c.logSnapshot(logCtx); s != nil && s.NextOffset >= page.Earliest && (best == nil || s.NextOffset > best.NextOffset) {
+		if s := c.readLogSnapshot(logCtx); s != nil && s.NextOffset >= page.Earliest && (best == nil || s.NextOffset > best.NextOffset) {
 			best = s
 		}
 	}
-	for _, s := range c.peerStates(ctx) {
+	for _, s := range c.fetchPeerStates(ctx) {
 		target = max(target, s.NextOffset)
 		if best == nil || s.NextOffset > best.NextOffset {
 			best = s
@@ -70,11 +73,12 @@
 	return best, target, best != nil
 }
 
-// logSnapshot returns the newest snapshot on the log, or nil.
-func (c *Controller) logSnapshot(ctx context.Context) *ledger.State {
+// readLogSnapshot returns the state of the newest complete snapshot on the
+// snapshot stream, or nil.
+func (c *Controller) readLogSnapshot(ctx context.Context) *ledger.State {
 	var chunks []*pb.SnapshotChunk
 	for from := uint64(0); ; {
-		p, err := c.Snapshots.Read(ctx, from, 0, bootPage)
+		p, err := c.Snapshots.Read(ctx, from, 0, bootPageSize)
 		if err != nil || len(p.Records) == 0 {
 			break
 		}
@@ -89,8 +93,8 @@
 	return assemble(chunks)
 }
 
-// peerStates asks every peer for its state.
-func (c *Controller) peerStates(ctx context.Context) []*ledger.State {
+// fetchPeerStates requests the state of every peer and returns those that arrive.
+func (c *Controller) fetchPeerStates(ctx context.Context) []*ledger.State {
 	peers := c.Members(ctx)
 	found := make(chan *ledger.State, len(peers))
 	for _, m := range peers {
@@ -102,7 +106,7 @@
 			}
 			s, err := ledger.Decode(resp.GetSnapshot().GetData(), resp.GetSnapshot().GetHash())
 			if err != nil {
-				c.Logger.Warn("peer gave a damaged snapshot", "peer", m.Node, "error", err.Error())
+				c.Logger.Warn("peer returned a damaged snapshot", "peer", m.Node, "error", err.Error())
 			}
 			found <- s
 		}()
@@ -116,7 +120,9 @@
 	return out
 }
 
-// bootState is the state to start from.
+// bootState replaces the state of the controller, at boot or after a gap in the
+// log. target is the offset up to which the log must be applied before the node
+// serves.
 type bootState struct {
 	state  *ledger.State
 	target uint64
@@ -128,36 +134,37 @@
 	}
 	c.state = m.state
 	c.builder.TouchAll()
-	c.adoptWeights()
+	c.applyWeights()
 	c.booted = true
-	c.target = max(c.target, m.target)
+	c.catchUpTarget = max(c.catchUpTarget, m.target)
 	c.snap.lastMark = m.state.NextOffset
-	c.Logger.Info("state taken", "nextOffset", m.state.NextOffset, "target", m.target)
+	c.Logger.Info("initial state loaded", "nextOffset", m.state.NextOffset, "target", m.target)
 	entries{}.handle(c)
-	c.dirty = true
+	c.viewStale = true
 }
 
-// gap is a stretch of the log that was trimmed before this node read it.
-type gap struct{ earliest uint64 }
+// trimmedLog reports that the log was trimmed up to the offset earliest before this
+// node had read all entries below it.
+type trimmedLog struct{ earliest uint64 }
 
-func (m gap) handle(c *Controller) {
+func (m trimmedLog) handle(c *Controller) {
 	if !c.booted || c.state.NextOffset >= m.earliest {
 		return
 	}
-	c.Logger.Warn("the log no longer holds what this node lacks; fetching a state", "nextOffset", c.state.NextOffset, "earliest", m.earliest)
+	c.Logger.Warn("the log was trimmed beyond this node's next offset; fetching a newer state", "nextOffset", c.state.NextOffset, "earliest", m.earliest)
 	c.caughtUp = false
-	c.dirty = true
-	go c.refetch()
+	c.viewStale = true
+	go c.refetchState()
 }
 
-// refetch takes a newer state after a gap.
-func (c *Controller) refetch() {
+// refetchState fetches a newer state after a gap, with retries until one arrives.
+func (c *Controller) refetchState() {
 	ctx := context.Background()
 	for {
-		if s, target, ok := c.newestState(ctx); ok {
+		if s, target, ok := c.fetchNewestState(ctx); ok {
 			c.inbox.Send(ctx, bootState{state: s, target: target})
 			return
 		}
-		c.pause(ctx, bootRetry)
+		c.pause(ctx, bootRetryDelay)
 	}
 }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -27,108 +27,131 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Streams of the log.
+// Streams of the log service: the records, and the snapshots of the state.
 const (
 	ControlStream  = "control"
 	SnapshotStream = "snapshots"
 )
 
-// Options are what a controller is made of.
+// Options are the settings and clients of a controller.
 type Options struct {
+	// Self is the incarnation of this node.
 	Self ledger.NodeRef
 	// Hall is the node's data hall.
 	Hall   string
 	Clock  clockwork.Clock
 	Logger hclog.Logger
-	Log    *logservice.Client
-	// Snapshots is the stream that keeps snapshots.
+	// Log is the client of ControlStream.
+	Log *logservice.Client
+	// Snapshots is the client of SnapshotStream.
 	Snapshots  *logservice.Client
 	List       *instancelist.Client
 	Engines    *engine.Client
 	Peers      *node.Client
 	Dispatcher *traffic.Dispatcher
-	// AppendPause is the least time between two appends of this node.
+	// AppendPause is the minimum time between two appends of this node.
 	AppendPause time.Duration
-	// SnapshotEvery is how many entries of the log lie between two snapshots.
+	// SnapshotEvery is the number of log entries between two snapshots.
 	SnapshotEvery uint64
-	// Policy decides about keeping; nil takes the product's own.
+	// Policy decides which idle replicas stay loaded; nil means [policy.Costed] with
+	// the default weights.
 	Policy plan.Policy
 }
 
-// Controller owns the control state of a node.
+// Controller runs the control plane of a node. Its exported methods are safe for
+// concurrent use.
 type Controller struct {
 	Options
 	inbox    *inbox.Inbox[message]
 	view     atomic.Pointer[view.View]
 	appender *logservice.Appender
-	// heard is when the log or a peer last said how far it is, in Unix nanoseconds.
-	heard atomic.Int64
-	next  atomic.Uint64
-	// tails is true while this node reads the log itself; fedAt is when its
-	// feeder last answered, in Unix nanoseconds.
-	tails atomic.Bool
-	fedAt atomic.Int64
+	// lastContact is when the log or a peer last reported its offset, in Unix
+	// nanoseconds.
+	lastContact atomic.Int64
+	// next is the offset at which the log tail reads next.
+	next atomic.Uint64
+	// tailsLog is true if this node reads the log itself. feederAckedAt is when its
+	// feeder last answered a probe, in Unix nanoseconds.
+	tailsLog      atomic.Bool
+	feederAckedAt atomic.Int64
 	// stopping is set when a planned stop begins.
 	stopping atomic.Bool
 	watchers watchers
-	// demandWake is told when a request begins to wait.
+	// demandWake makes demandLoop report demand at once.
 	demandWake chan struct{}
 	Metrics    *Metrics
 
 	// The fields below belong to the control goroutine.
-	state     *ledger.State
-	booted    bool
-	target    uint64
-	caughtUp  bool
-	diverged  bool
-	planner   *plan.Planner
-	members   *membership.Table
-	demand    *demand.Table
-	engines   map[string]*plan.Engine
-	listed    []instancelist.Instance
+
+	state *ledger.State
+	// booted is true once state holds a decided state.
+	booted bool
+	// catchUpTarget is the offset up to which the log must be applied before
+	// caughtUp is set.
+	catchUpTarget uint64
+	caughtUp      bool
+	// diverged is true if the state hash differs from that of the other nodes.
+	diverged bool
+	planner  *plan.Planner
+	members  *membership.Table
+	demand   *demand.Table
+	// engines holds the observed state of the engines by name.
+	engines map[string]*plan.Engine
+	// instances is the latest instance list; listRead is true once there is one.
+	instances []instancelist.Instance
 	listRead  bool
-	waiters   map[uint64]chan ledger.Outcome
-	settled   []settled
-	early     map[uint64][]byte
-	orders    map[ledger.Key]uint64
+	// waiters holds the reply channels of proposals by sequence number.
+	waiters map[uint64]chan ledger.Outcome
+	// resolved holds the outcomes to send once the view is published.
+	resolved []resolvedProposal
+	// earlyEntries holds log entries by offset that cannot be applied before those
+	// below them have arrived.
+	earlyEntries map[uint64][]byte
+	// sentOrders holds the fence of the last order sent for each placement.
+	sentOrders map[ledger.Key]uint64
+	// homeAcked holds when each home last acknowledged a demand report.
 	homeAcked map[string]time.Time
-	leaving   map[string]time.Time
-	snap      snapshots
-	feed      membership.Feed
-	round     int
-	builder   *view.Builder
-	live      []string
-	// lastServices are the plain services in the view.
+	// leaving holds the instances announced to stop, and when that was last reported.
+	leaving map[string]time.Time
+	snap    snapshots
+	feed    membership.Feed
+	// probeRound counts the rounds of probes.
+	probeRound int
+	builder    *view.Builder
+	// live holds the names of the live nodes in the view.
+	live []string
+	// lastServices holds the plain services in the view.
 	lastServices []view.Service
-	dirty        bool
+	// viewStale is true if the view must be published again.
+	viewStale bool
 }
 
-// message is something that happened, handled by the control goroutine.
+// message is an event or a query that the control goroutine handles.
 type message interface {
 	handle(c *Controller)
 }
 
-// inboxSize bounds the messages that wait for the control goroutine; senders
-// wait when it is full.
+// inboxSize bounds the messages that wait for the control goroutine. Senders block
+// while the inbox is full.
 const inboxSize = 4096
 
-// tick is the longest time between two plans.
-const tick = 100 * time.Millisecond
+// tickInterval is the longest time between two plans.
+const tickInterval = 100 * time.Millisecond
 
-// New returns a controller that has not begun.
+// New returns a controller. It does nothing until Run is called.
 func New(o Options) *Controller {
 	c := &Controller{
 		Options: o, inbox: inbox.New[message](inboxSize), Metrics: newMetrics(), demandWake: make(chan struct{}, 1),
 		state: ledger.NewState(), members: membership.NewTable(o.Self), demand: demand.NewTable(),
 		engines: make(map[string]*plan.Engine), waiters: make(map[uint64]chan ledger.Outcome),
-		early: make(map[uint64][]byte), orders: make(map[ledger.Key]uint64),
+		earlyEntries: make(map[uint64][]byte), sentOrders: make(map[ledger.Key]uint64),
 		homeAcked: make(map[string]time.Time), leaving: make(map[string]time.Time),
 	}
 	if c.Policy == nil {
 		c.Policy = policy.NewCosted(policy.DefaultWeights)
 	}
 	c.planner = plan.New(o.Self, c.Policy, rand.Float64())
-	c.appender = logservice.NewAppender(o.Self.Node, o.Self.Incarnation, o.Log, o.Clock, o.AppendPause, c.onAppended)
+	c.appender = logservice.NewAppender(o.Self.Node, o.Self.Incarnation, o.Log, o.Clock, o.AppendPause, c.entryAppended)
 	c.snap = newSnapshots()
 	c.builder = view.NewBuilder()
 	first, _ := c.builder.Build(&view.Input{Ledger: c.state})
@@ -136,11 +159,11 @@
 	return c
 }
 
-// View returns the view in force.
+// View returns the latest published view; never nil.
 func (c *Controller) View() *view.View { return c.view.Load() }
 
-// Heard returns when the node last heard from the log or a peer.
-func (c *Controller) Heard() time.Time { return time.Unix(0, c.heard.Load()) }
+// Heard returns when the log or a peer last reported its offset to this node.
+func (c *Controller) Heard() time.Time { return time.Unix(0, c.lastContact.Load()) }
 
 // Stopping reports whether a planned stop has begun.
 func (c *Controller) Stopping() bool { return c.stopping.Load() }
@@ -149,7 +172,7 @@
 func (c *Controller) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, loop := range []func(context.Context){
-		c.own, c.appender.Run, c.listLoop, c.engineLoop, c.probeLoop, c.demandLoop, c.bootAndTail,
+		c.controlLoop, c.appender.Run, c.listLoop, c.engineLoop, c.probeLoop, c.demandLoop, c.bootAndTail,
 	} {
 		wg.Add(1)
 		go func() {
@@ -160,10 +183,11 @@
 	wg.Wait()
 }
 
-// own is the control goroutine.
-func (c *Controller) own(ctx context.Context) {
+// controlLoop is the control goroutine: it handles messages and ticks, and plans
+// after each.
+func (c *Controller) controlLoop(ctx context.Context) {
 	defer c.inbox.End()
-	ticker := c.Clock.NewTicker(tick)
+	ticker := c.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -173,24 +197,24 @@
 			m.handle(c)
 			c.inbox.Drain(func(m message) { m.handle(c) })
 		case <-ticker.Chan():
-			c.forgetOrders()
-			c.noticeLive()
-			c.healGap()
+			c.deleteStaleOrders()
+			c.updateLive()
+			c.rereadGap()
 		}
-		c.step(ctx)
+		c.planAndPublish(ctx)
 	}
 }
 
-// noticeLive marks the view out of date when the live nodes have changed.
-func (c *Controller) noticeLive() {
+// updateLive marks the view stale if the set of live nodes has changed.
+func (c *Controller) updateLive() {
 	live := c.members.Live(c.Clock.Now(), false)
 	if !slices.Equal(live, c.live) {
 		c.live = live
-		c.dirty = true
+		c.viewStale = true
 	}
 }
 
-// pause sleeps, or less if the context ends.
+// pause sleeps for d or until the context ends.
 func (c *Controller) pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-c.Clock.After(d):
@@ -198,31 +222,34 @@
 	}
 }
 
-// step plans and publishes.
-func (c *Controller) step(ctx context.Context) {
+// planAndPublish performs the next plan if the node has caught up with the log,
+// publishes the view if it is stale, and then replies to proposers.
+func (c *Controller) planAndPublish(ctx context.Context) {
 	now := c.Clock.Now()
 	if c.booted && c.caughtUp && !c.diverged {
 		for _, a := range c.planner.Plan(c.planInput(now)) {
-			c.act(ctx, a, now)
+			c.perform(ctx, a, now)
 		}
-		c.maybeMark()
+		c.proposeMark()
 	}
-	if c.dirty {
-		c.dirty = false
+	if c.viewStale {
+		c.viewStale = false
 		c.publish()
 	}
-	c.answerWaiters()
+	c.resolveWaiters()
 }
 
 func (c *Controller) planInput(now time.Time) *plan.Input {
 	return &plan.Input{
 		Now: now, Live: c.members.Live(now, c.stopping.Load()), Ledger: c.state, Demand: c.demand, Engines: c.engines,
 		Alive:     func(ref ledger.NodeRef) bool { return c.members.Alive(ref, now) },
-		HomeAcked: func(home string) bool { return now.Sub(c.homeAcked[home]) < homeAckLife },
+		HomeAcked: func(home string) bool { return now.Sub(c.homeAcked[home]) < homeAckTTL },
 	}
 }
 
-func (c *Controller) act(ctx context.Context, a plan.Action, now time.Time) {
+// perform submits a proposal or starts sending an order, unless the order with
+// this fence was started before.
+func (c *Controller) perform(ctx context.Context, a plan.Action, now time.Time) {
 	if a.Propose != nil {
 		if _, err := c.appender.Submit(a.Propose); err != nil {
 			c.Logger.Warn("proposal dropped", "error", err.Error())
@@ -230,18 +257,18 @@
 		return
 	}
 	o := a.Order
-	if c.orders[o.Key] == o.Fence {
+	if c.sentOrders[o.Key] == o.Fence {
 		return
 	}
 	if now.After(o.LeaseEnd) {
 		c.planner.ExpireLease(o.Key)
 		return
 	}
-	c.orders[o.Key] = o.Fence
+	c.sentOrders[o.Key] = o.Fence
 	go c.execute(ctx, o)
 }
 
-// publish makes a new view and gives it to traffic.
+// publish builds a new view and passes it to the dispatcher of requests.
 func (c *Controller) publish() {
 	v, changed := c.builder.Build(&view.Input{
 		Ledger: c.state, Engines: c.engines, Services: c.services(),
@@ -257,25 +284,26 @@
 
 func (c *Controller) services() []view.Service {
 	var out []view.Service
-	for _, in := range c.listed {
+	for _, in := range c.instances {
 		if in.Kind != instancelist.KindService {
 			continue
 		}
 		out = append(out, view.Service{
 			Service:  in.Service,
 			Endpoint: view.Endpoint{Name: in.ID, Address: in.Address, Hall: in.Hall},
-			Leaving:  c.isLeaving(in),
+			Leaving:  c.instanceLeaving(in),
 		})
 	}
 	return out
 }
 
-func (c *Controller) isLeaving(in instancelist.Instance) bool {
+func (c *Controller) instanceLeaving(in instancelist.Instance) bool {
 	_, told := c.leaving[in.ID]
 	return told || in.State == instancelist.StateLeaving
 }
 
-// watchers are channels closed at the next change of configuration.
+// watchers holds the channel that is closed at the next change of the configuration
+// revision or of readiness.
 type watchers struct {
 	mu   sync.Mutex
 	next chan struct{}
@@ -299,11 +327,11 @@
 	}
 }
 
-// Changed returns a channel that is closed when another configuration comes
-// into force.
+// Changed returns a channel that is closed when a view with another configuration
+// revision or another readiness is published.
 func (c *Controller) Changed() <-chan struct{} { return c.watchers.wait() }
 
-// WakeDemand makes the demand loop look at once.
+// WakeDemand makes the demand loop report demand at once.
 func (c *Controller) WakeDemand() {
 	select {
 	case c.demandWake <- struct{}{}:
@@ -311,38 +339,42 @@
 	}
 }
 
-// Stop begins a planned stop: the node gives up its homes and tells its peers
-// and the platform, and goes on serving.
+// Stop begins a planned stop: the node is no longer the home of any key, and it
+// announces the stop to its peers and the platform. It continues to serve.
 func (c *Controller) Stop(ctx context.Context) {
 	if c.stopping.Swap(true) {
 		return
 	}
 	c.Logger.Info("planned stop begins")
-	c.inbox.Send(ctx, sayLeaving{})
+	c.inbox.Send(ctx, announceLeaving{})
 	if err := c.List.SayLeaving(ctx, c.Self.Node); err != nil {
-		c.Logger.Warn("the platform was not told of the stop", "error", err.Error())
+		c.Logger.Warn("cannot announce the planned stop to the platform", "error", err.Error())
 	}
 }
 
-// sayLeaving tells the peers that this node is leaving.
-type sayLeaving struct{}
+// announceLeaving makes the control goroutine tell the neighbours that this node is
+// leaving.
+type announceLeaving struct{}
 
-func (sayLeaving) handle(c *Controller) {
-	c.toNeighbours(&pb.PeerRequest{Body: &pb.PeerRequest_Leaving{Leaving: &pb.Leaving{Instances: []string{c.Self.Node}}}})
+func (announceLeaving) handle(c *Controller) {
+	c.sendToNeighbours(&pb.PeerRequest{Body: &pb.PeerRequest_Leaving{Leaving: &pb.Leaving{Instances: []string{c.Self.Node}}}})
 }
 
-// quiesceTimeout bounds the wait for own orders and records at a planned stop.
+// quiesceTimeout bounds the wait for this node's orders and records at a planned
+// stop.
 const quiesceTimeout = 10 * time.Second
 
-// ErrUnsettled is returned when a planned stop left orders or records behind.
-var ErrUnsettled = eris.New("orders or records were not settled in time; the next home takes them over")
+// ErrUnsettled is returned by [Controller.Quiesce] if orders or records of this
+// node were unfinished at the timeout.
+var ErrUnsettled = eris.New("orders or records of this node are unfinished; the next home takes them over")
 
-// Quiesce waits until this node carries out no order and has nothing to append.
+// Quiesce waits until this node executes no order and has no record to append. It
+// returns [ErrUnsettled] after quiesceTimeout or when the context ends.
 func (c *Controller) Quiesce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, quiesceTimeout)
 	defer cancel()
 	for {
-		quiet, ok := ask(ctx, c, (*Controller).quiet)
+		quiet, ok := ask(ctx, c, (*Controller).isQuiet)
 		if !ok {
 			return ErrUnsettled
 		}
@@ -350,15 +382,15 @@
 			return nil
 		}
 		select {
-		case <-c.Clock.After(tick):
+		case <-c.Clock.After(tickInterval):
 		case <-ctx.Done():
 			return ErrUnsettled
 		}
 	}
 }
 
-// quiet reports whether nothing of this node's is open.
-func (c *Controller) quiet() bool {
+// isQuiet reports whether this node executes no order and has no record to append.
+func (c *Controller) isQuiet() bool {
 	for _, p := range c.state.Open {
 		if p.Executor == c.Self && p.Phase != ledger.Quarantined {
 			return false
@@ -367,12 +399,13 @@
 	return c.appender.Quiet()
 }
 
-// freeze stops the control goroutine, as a paused process would.
+// freeze blocks the control goroutine, as a pause of the process would.
 type freeze struct{ until <-chan time.Time }
 
 func (m freeze) handle(*Controller) { <-m.until }
 
-// Freeze holds the control goroutine for a time. Only experiments call it.
+// Freeze blocks the control goroutine for d. Only experiments call it, to imitate
+// a paused process.
 func (c *Controller) Freeze(ctx context.Context, d time.Duration) {
 	c.inbox.Send(ctx, freeze{until: c.Clock.After(d)})
 }
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,12 +1,14 @@
-// Package control is the control side of a node: one goroutine that owns what
-// is decided and known, and the loops that feed it.
+// Package control is the control plane of a node: the [Controller] applies the
+// records of the log, tracks engines, peers and demand, plans loads and unloads,
+// and publishes the view by which requests are routed. The process entry point
+// (package entry) starts it; the operators' API and the request handlers call it.
 //
-// The problem: records, demand, probes and orders arrive from many sides at
-// once, and the decisions must be made on one consistent state. The model: the
-// [Controller] takes typed messages from one channel, folds them into the
-// ledger and the soft state, lets the planner draw the next steps, and
-// publishes a view. The loops (log tail, instance list, engine status, peer
-// probes, demand) each do one kind of I/O and send messages; orders to engines
-// run in goroutines of their own and report back by message. Traffic never
-// waits for this goroutine: it reads the view.
+// Records, demand reports, probes and order results arrive concurrently, and
+// decisions must be made on one consistent state. One goroutine, the control
+// goroutine, therefore owns the state. It receives typed messages from an inbox,
+// updates the ledger and the observed state, asks the planner for the next steps
+// and publishes a new [view.View]. The loops (log tail, instance list, engine
+// status, peer probes, demand) each do one kind of I/O and send messages; orders
+// to engines run in goroutines of their own and report by message. Request
+// handlers never wait for the control goroutine: they read the view.
 package control
--- a/internal/control/fold.go
+++ b/internal/control/fold.go
@@ -13,28 +13,31 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// maxEarly bounds how far ahead of its turn an entry is kept.
-const maxEarly = 10000
+// maxEarlyEntries bounds how far beyond the next offset a log entry may lie to be
+// kept until the entries below it arrive.
+const maxEarlyEntries = 10000
 
-// onAppended passes a confirmed append on: to the own fold and to the peers.
-func (c *Controller) onAppended(offset uint64, data []byte) {
+// entryAppended passes an entry whose append the log confirmed to the control
+// goroutine, which applies it and forwards it to peers.
+func (c *Controller) entryAppended(offset uint64, data []byte) {
 	c.Metrics.Appends.Add(1)
-	c.heard.Store(c.Clock.Now().UnixNano())
+	c.lastContact.Store(c.Clock.Now().UnixNano())
 	e := []*pb.LogEntry{{Offset: offset, Data: data}}
 	c.inbox.Send(context.Background(), entries{list: e})
-	c.inbox.Send(context.Background(), pushed{list: e})
+	c.inbox.Send(context.Background(), forwardEntries{list: e})
 }
 
-// Next implements logservice.Reader.
+// Next implements [logservice.Reader]: it returns the offset to read next.
 func (c *Controller) Next() uint64 { return c.next.Load() }
 
-// Page implements logservice.Reader.
+// Page implements [logservice.Reader]: it takes a page that was read from the log,
+// or the error of the read.
 func (c *Controller) Page(p logservice.Page, err error) {
 	if err != nil {
 		c.Metrics.LogErrors.Add(1)
 		return
 	}
-	c.heard.Store(c.Clock.Now().UnixNano())
+	c.lastContact.Store(c.Clock.Now().UnixNano())
 	list := make([]*pb.LogEntry, 0, len(p.Records))
 	for _, r := range p.Records {
 		list = append(list, &pb.LogEntry{Offset: r.Offset, Data: r.Data})
@@ -45,60 +48,60 @@
 	}
 	c.inbox.Send(context.Background(), entries{list: list, target: p.Next})
 	if len(c.Members(context.Background())) > membership.SmallFleet {
-		c.inbox.Send(context.Background(), pushed{list: list})
+		c.inbox.Send(context.Background(), forwardEntries{list: list})
 	}
 	if p.Earliest > from && len(list) > 0 {
-		c.inbox.Send(context.Background(), gap{earliest: p.Earliest})
+		c.inbox.Send(context.Background(), trimmedLog{earliest: p.Earliest})
 	}
 }
 
-// entries are entries of the log, from the log itself or from a peer.
+// entries holds log entries that were read from the log or received from a peer.
 type entries struct {
 	list []*pb.LogEntry
-	// target is the end of the log as the source knew it; 0 if it did not say.
+	// target is the end of the log as far as the source knows; 0 if it is unknown.
 	target uint64
 }
 
 func (m entries) handle(c *Controller) {
 	for _, e := range m.list {
-		// The bound is on the offset and not on the count: entries far ahead must
-		// not crowd out the one whose turn is next.
-		if o := e.GetOffset(); o >= c.state.NextOffset && o < c.state.NextOffset+maxEarly {
-			c.early[e.GetOffset()] = e.GetData()
+		// The bound is on the offset and not on the number of entries: otherwise
+		// entries far ahead could keep out the next one to apply.
+		if o := e.GetOffset(); o >= c.state.NextOffset && o < c.state.NextOffset+maxEarlyEntries {
+			c.earlyEntries[e.GetOffset()] = e.GetData()
 		}
 	}
-	c.foldEarly()
+	c.applyEarly()
 	if c.booted && !c.caughtUp {
-		c.target = max(c.target, m.target)
-		if c.state.NextOffset >= c.target {
+		c.catchUpTarget = max(c.catchUpTarget, m.target)
+		if c.state.NextOffset >= c.catchUpTarget {
 			c.caughtUp = true
-			c.dirty = true
+			c.viewStale = true
 			c.Logger.Info("caught up", "nextOffset", c.state.NextOffset)
 		}
 	}
 }
 
-// foldEarly folds the entries whose turn it is.
-func (c *Controller) foldEarly() {
+// applyEarly applies the kept entries from the next offset up to the first gap.
+func (c *Controller) applyEarly() {
 	if !c.booted {
 		return
 	}
 	for {
 		offset := c.state.NextOffset
-		data, ok := c.early[offset]
+		data, ok := c.earlyEntries[offset]
 		if !ok {
 			break
 		}
-		delete(c.early, offset)
-		c.snap.keep(offset, data)
+		delete(c.earlyEntries, offset)
+		c.snap.addRecent(offset, data)
 		for _, o := range c.state.ApplyEntry(offset, data) {
-			c.settle(o)
+			c.handleOutcome(o)
 		}
-		c.dirty = true
+		c.viewStale = true
 	}
-	for offset := range c.early {
+	for offset := range c.earlyEntries {
 		if offset < c.state.NextOffset {
-			delete(c.early, offset)
+			delete(c.earlyEntries, offset)
 		}
 	}
 	if n := c.state.NextOffset; n > c.next.Load() {
@@ -106,16 +109,18 @@
 	}
 }
 
-// healGap makes the tail read again from where the fold stands, when entries
-// wait for one that never came.
-func (c *Controller) healGap() {
-	if c.booted && len(c.early) > 0 {
+// rereadGap makes the tail read again from the next offset to apply if entries
+// beyond a gap are waiting.
+func (c *Controller) rereadGap() {
+	if c.booted && len(c.earlyEntries) > 0 {
 		c.next.Store(c.state.NextOffset)
 	}
 }
 
-// settle acts on the outcome of one record.
-func (c *Controller) settle(o ledger.Outcome) {
+// handleOutcome updates metrics, the planner, the membership, the view and the
+// snapshots after a record was applied, and resolves its proposal if the record is
+// this node's.
+func (c *Controller) handleOutcome(o ledger.Outcome) {
 	now := c.Clock.Now()
 	c.Metrics.Folds.Add(1)
 	if !o.OK() {
@@ -123,7 +128,7 @@
 	}
 	c.planner.Observe(o, now)
 	c.members.Seen(ledger.NodeRef{Node: o.Record.GetNode(), Incarnation: o.Record.GetIncarnation()}, now)
-	c.touch(o)
+	c.markChanged(o)
 	switch b := o.Record.GetBody().(type) {
 	case *pb.Record_Load:
 		if o.OK() {
@@ -131,12 +136,12 @@
 		}
 	case *pb.Record_Mark:
 		if o.OK() {
-			c.onMark(o)
+			c.markApplied(o)
 		}
 	case *pb.Record_MarkHash:
-		c.onMarkHash(o.Record.GetNode(), b.MarkHash)
+		c.compareHash(o.Record.GetNode(), b.MarkHash)
 	case *pb.Record_ConfigChange:
-		c.onConfig(o)
+		c.configApplied(o)
 	}
 	own := o.Record.GetNode() == c.Self.Node && o.Record.GetIncarnation() == c.Self.Incarnation
 	if !own || o.Reason == ledger.Repeated {
@@ -145,27 +150,29 @@
 	c.planner.Settled(o, now)
 	if w := c.waiters[o.Record.GetSequence()]; w != nil {
 		delete(c.waiters, o.Record.GetSequence())
-		c.settled = append(c.settled, settled{w, o})
+		c.resolved = append(c.resolved, resolvedProposal{w, o})
 	}
 }
 
-// settled is an outcome that its waiter is told once the view shows it: who hears that
-// a change is accepted may send what needs it at once.
-type settled struct {
-	done    chan<- ledger.Outcome
+// resolvedProposal is an outcome to send to its proposer. It is sent only after the
+// view that includes it is published, because the proposer may send requests that
+// depend on an accepted change at once.
+type resolvedProposal struct {
+	reply   chan<- ledger.Outcome
 	outcome ledger.Outcome
 }
 
-// answerWaiters tells the outcomes of the records folded since the last step.
-func (c *Controller) answerWaiters() {
-	for _, s := range c.settled {
-		s.done <- s.outcome
+// resolveWaiters sends the outcomes of the records applied since the last call to
+// their proposers.
+func (c *Controller) resolveWaiters() {
+	for _, s := range c.resolved {
+		s.reply <- s.outcome
 	}
-	c.settled = c.settled[:0]
+	c.resolved = c.resolved[:0]
 }
 
-// touch marks what an accepted record changes in the view.
-func (c *Controller) touch(o ledger.Outcome) {
+// markChanged marks the units of the view that an accepted record changes.
+func (c *Controller) markChanged(o ledger.Outcome) {
 	if !o.OK() {
 		return
 	}
@@ -179,12 +186,14 @@
 	}
 }
 
-// ErrLogSilent is returned when a proposal was not decided in time.
-var ErrLogSilent = eris.New("the log has not decided in time; ask again when it is reachable")
+// ErrLogSilent is returned by [Controller.Propose] if the record was not decided
+// before the context ended.
+var ErrLogSilent = eris.New("the log has not decided the record in time; retry when the log is reachable")
 
-// Propose appends a record and waits for its outcome. When the context ends
-// first, the record is taken back if it can be; otherwise late is called with
-// the outcome whenever it comes.
+// Propose appends a record to the log and waits for its outcome. It returns
+// [logservice.ErrBacklog] if the record cannot be queued. If the context ends
+// first, it returns [ErrLogSilent]; the record is then withdrawn if it has not been
+// sent, and otherwise late, if not nil, is called with the outcome when it is known.
 func (c *Controller) Propose(ctx context.Context, r *pb.Record, late func(ledger.Outcome)) (ledger.Outcome, error) {
 	done := make(chan ledger.Outcome, 1)
 	seq := make(chan uint64, 1)
@@ -193,7 +202,7 @@
 	select {
 	case s = <-seq:
 	case <-ctx.Done():
-		// The control goroutine still answers both channels.
+		// The control goroutine still sends to both channels.
 		go func() { c.abandon(<-seq, done, late) }()
 		return ledger.Outcome{}, ErrLogSilent
 	}
@@ -209,7 +218,8 @@
 	}
 }
 
-// abandon withdraws a record, or arranges for its late outcome.
+// abandon withdraws a record or, if that is no longer possible, calls late with its
+// outcome.
 func (c *Controller) abandon(seq uint64, done chan ledger.Outcome, late func(ledger.Outcome)) {
 	if seq == 0 || c.appender.Withdraw(seq) || late == nil {
 		return
@@ -217,7 +227,8 @@
 	go func() { late(<-done) }()
 }
 
-// proposal is a record that somebody waits for.
+// proposal is a record whose proposer waits for the outcome on done. seq receives
+// the record's sequence number, or 0 if it could not be queued.
 type proposal struct {
 	record *pb.Record
 	done   chan ledger.Outcome
@@ -234,46 +245,48 @@
 	m.seq <- seq
 }
 
-// Submit appends a record whose outcome nobody waits for.
+// Submit appends a record without waiting for its outcome.
 func (c *Controller) Submit(r *pb.Record) {
 	if _, err := c.appender.Submit(r); err != nil {
 		c.Logger.Warn("record dropped", "error", err.Error())
 	}
 }
 
-// onConfig notes that a configuration came into force.
-func (c *Controller) onConfig(o ledger.Outcome) {
+// configApplied applies the policy weights of an accepted configuration change and
+// records the time since it was proposed.
+func (c *Controller) configApplied(o ledger.Outcome) {
 	if !o.OK() {
 		return
 	}
-	c.adoptWeights()
+	c.applyWeights()
 	spread := c.Clock.Now().UnixMilli() - o.Record.GetTimeUnixMs()
 	c.Metrics.ConfigSpread.Record(spread)
 	c.Logger.Info("configuration in force", "revision", o.Revision, "spreadMs", spread)
 }
 
-// weighted is a policy that follows the weights of the configuration.
-type weighted interface {
+// weightSetter is a policy that takes the weights of the configuration.
+type weightSetter interface {
 	SetWeights(w policy.Weights)
 }
 
-// adoptWeights gives the policy the weights in force.
-func (c *Controller) adoptWeights() {
+// applyWeights passes the weights of the current configuration to the policy.
+func (c *Controller) applyWeights() {
 	w := c.state.Catalog.Config.GetWeights()
-	p, ok := c.Policy.(weighted)
+	p, ok := c.Policy.(weightSetter)
 	if !ok || w == nil {
 		return
 	}
 	p.SetWeights(policy.Weights{ColdStartSecond: w.GetColdStartSecond(), IdleHour: w.GetIdleHour()})
 }
 
-// claimState is a claim and whether its owner is held to be alive.
+// claimState is a claim and whether this node considers its owner alive.
 type claimState struct {
 	claim *ledger.Claim
 	alive bool
 }
 
-// Claim returns a claim, or nil, and whether its owner is held to be alive.
+// Claim returns a claim, or nil if there is none, and whether this node considers
+// its owner alive.
 func (c *Controller) Claim(ctx context.Context, id ledger.ClaimID) (*ledger.Claim, bool) {
 	st, _ := ask(ctx, c, func(c *Controller) claimState {
 		cl := c.state.Claims[id]
@@ -282,13 +295,14 @@
 	return st.claim, st.alive
 }
 
-// FetchAnswer asks the owner of a claim for its answer; nil when it gave none.
+// FetchAnswer requests the answer to a once-only request from the owner of its
+// claim. It returns nil if the owner cannot be reached.
 func (c *Controller) FetchAnswer(ctx context.Context, owner ledger.NodeRef, f *pb.AnswerFetch) *pb.Answer {
 	for _, m := range c.Members(ctx) {
 		if m.Node != owner.Node || m.Incarnation != owner.Incarnation {
 			continue
 		}
-		resp, err := c.call(ctx, m, time.Duration(f.GetWaitMs())*time.Millisecond+tellTimeout, &pb.PeerRequest{Body: &pb.PeerRequest_AnswerFetch{AnswerFetch: f}})
+		resp, err := c.call(ctx, m, time.Duration(f.GetWaitMs())*time.Millisecond+notifyTimeout, &pb.PeerRequest{Body: &pb.PeerRequest_AnswerFetch{AnswerFetch: f}})
 		if err == nil {
 			return resp.GetAnswer()
 		}
--- a/internal/control/loops.go
+++ b/internal/control/loops.go
@@ -15,41 +15,44 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Times of the loops.
+// Intervals and timeouts of the loops.
 const (
-	listEvery     = time.Second
-	listTimeout   = 2 * time.Second
-	engineEvery   = time.Second
-	engineTimeout = 900 * time.Millisecond
-	demandEvery   = 100 * time.Millisecond
-	// demandRenew is the least time in which unchanged demand is told again.
-	demandRenew = demand.Life / 3
-	// homeAckLife is how long a home counts as listening.
-	homeAckLife = 2 * demandRenew
-	// engineMisses is how many status calls in a row an engine may miss.
-	engineMisses = 3
-	// leavingLife is how long a leaving notice outlives its last evidence.
-	leavingLife = 10 * time.Minute
+	listInterval   = time.Second
+	listTimeout    = 2 * time.Second
+	engineInterval = time.Second
+	engineTimeout  = 900 * time.Millisecond
+	demandInterval = 100 * time.Millisecond
+	// demandRenewInterval is the time after which unchanged demand is reported again,
+	// well before the TTL of a report.
+	demandRenewInterval = demand.Life / 3
+	// homeAckTTL is how long a home counts as responsive after it acknowledged a
+	// demand report.
+	homeAckTTL = 2 * demandRenewInterval
+	// maxEngineMisses is the number of consecutive failed status calls after which an
+	// engine counts as unreachable.
+	maxEngineMisses = 3
+	// leavingTTL is how long an instance counts as leaving after the last report.
+	leavingTTL = 10 * time.Minute
 )
 
-// listLoop reads the instance list.
+// listLoop reads the platform's instance list every listInterval.
 func (c *Controller) listLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		lctx, cancel := context.WithTimeout(ctx, listTimeout)
 		list, err := c.List.List(lctx)
 		cancel()
 		if err == nil {
-			c.inbox.Send(ctx, listSeen{list: list})
+			c.inbox.Send(ctx, instanceList{list: list})
 		}
-		c.pause(ctx, listEvery)
+		c.pause(ctx, listInterval)
 	}
 }
 
-// listSeen is the list as it showed.
-type listSeen struct{ list []instancelist.Instance }
+// instanceList is an instance list that was read from the platform.
+type instanceList struct{ list []instancelist.Instance }
 
-func (m listSeen) handle(c *Controller) {
-	c.listed = m.list
+func (m instanceList) handle(c *Controller) {
+	c.instances = m.list
 	c.listRead = true
 	now := c.Clock.Now()
 	var nodes []membership.Member
@@ -71,25 +74,28 @@
 	}
 	c.members.Listed(nodes)
 	c.members.Forget(now)
-	c.refeed(now)
+	c.updateFeed(now)
 	c.markLeaving(leaving, now)
-	if c.seeEngines(engines) || c.seeServices() {
+	if c.updateEngines(engines) || c.updateServices() {
 		c.builder.TouchAll()
-		c.dirty = true
+		c.viewStale = true
 	}
 }
 
-// seeServices reports whether the plain services in the list have changed.
-func (c *Controller) seeServices() bool {
+// updateServices updates the plain services from the instance list and reports
+// whether they have changed.
+func (c *Controller) updateServices() bool {
 	now := c.services()
 	same := slices.Equal(now, c.lastServices)
 	c.lastServices = now
 	return !same
 }
 
-// seeEngines keeps the soft state in step with the list and the ledger; it
-// reports whether an engine has become usable or ceased to be.
-func (c *Controller) seeEngines(listed map[string]instancelist.Instance) (changed bool) {
+// updateEngines updates the observed state of engines from the instance list and
+// the ledger. It reports whether an engine was added or became reachable. In a
+// large fleet, engines whose home is another node count as reachable with the
+// incarnation in the ledger, because this node does not poll them.
+func (c *Controller) updateEngines(listed map[string]instancelist.Instance) (changed bool) {
 	for id := range listed {
 		if c.engines[id] == nil {
 			c.engines[id] = &plan.Engine{}
@@ -101,7 +107,7 @@
 			c.engines[id] = &plan.Engine{}
 		}
 	}
-	many := len(listed) > askAllEngines
+	many := len(listed) > pollAllEnginesMax
 	for id, e := range c.engines {
 		if known := c.state.Engines[id]; many && known != nil && c.planner.Home(id) != c.Self.Node {
 			changed = changed || !e.Reachable
@@ -118,13 +124,13 @@
 	return changed
 }
 
-// markLeaving notes leaving instances and tells the peers of those that are
-// news, so that a notice reaches every node whoever hears of it first.
+// markLeaving records that instances are leaving and forwards those not known
+// before to the neighbours, so that a notice received by any node reaches all.
 func (c *Controller) markLeaving(ids []string, now time.Time) {
-	var news []string
+	var added []string
 	for _, id := range ids {
 		if _, known := c.leaving[id]; !known {
-			news = append(news, id)
+			added = append(added, id)
 			c.Logger.Info("instance is leaving", "instance", id)
 		}
 		c.leaving[id] = now
@@ -134,41 +140,43 @@
 		}
 	}
 	for id, at := range c.leaving {
-		if now.Sub(at) > leavingLife {
+		if now.Sub(at) > leavingTTL {
 			delete(c.leaving, id)
 		}
 	}
-	if len(news) == 0 {
+	if len(added) == 0 {
 		return
 	}
 	c.builder.TouchAll()
-	c.dirty = true
-	c.toNeighbours(&pb.PeerRequest{Body: &pb.PeerRequest_Leaving{Leaving: &pb.Leaving{Instances: news}}})
+	c.viewStale = true
+	c.sendToNeighbours(&pb.PeerRequest{Body: &pb.PeerRequest_Leaving{Leaving: &pb.Leaving{Instances: added}}})
 }
 
-// leavingTold is a notice from a peer or an endpoint's own answer. What is news
-// here is passed on, so that it reaches nodes that the teller does not talk to.
-type leavingTold struct{ ids []string }
+// leavingReported is a notice that instances are leaving, from a peer or from an
+// endpoint's response. Instances not known before are forwarded, so that the notice
+// reaches nodes to which its sender does not talk.
+type leavingReported struct{ ids []string }
 
-func (m leavingTold) handle(c *Controller) { c.markLeaving(m.ids, c.Clock.Now()) }
+func (m leavingReported) handle(c *Controller) { c.markLeaving(m.ids, c.Clock.Now()) }
 
-// EndpointLeaving notes that an endpoint told this node that it is leaving.
+// EndpointLeaving records that an endpoint announced in a response that it is
+// leaving.
 func (c *Controller) EndpointLeaving(id string) {
-	c.inbox.Send(context.Background(), leavingTold{ids: []string{id}})
+	c.inbox.Send(context.Background(), leavingReported{ids: []string{id}})
 }
 
-// engineLoop asks the engines for their status.
+// engineLoop polls the status of the engines.
 func (c *Controller) engineLoop(ctx context.Context) {
 	misses := make(map[string]int)
 	for ctx.Err() == nil {
-		targets, _ := ask(ctx, c, (*Controller).enginesToAsk)
-		results := make([]engineSeen, len(targets))
+		targets, _ := ask(ctx, c, (*Controller).enginesToPoll)
+		results := make([]engineResult, len(targets))
 		var wg sync.WaitGroup
 		for i, in := range targets {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				results[i] = c.askEngine(ctx, in)
+				results[i] = c.pollEngine(ctx, in)
 			}()
 		}
 		wg.Wait()
@@ -178,21 +186,21 @@
 			} else {
 				misses[results[i].id]++
 			}
-			results[i].lost = misses[results[i].id] >= engineMisses
+			results[i].lost = misses[results[i].id] >= maxEngineMisses
 			c.inbox.Send(ctx, results[i])
 		}
-		every := engineEvery
-		if len(targets) > manyOwnEngines {
+		every := engineInterval
+		if len(targets) > frequentPollMax {
 			every *= 3
 		}
 		c.pause(ctx, every)
 	}
 }
 
-// enginesToAsk returns whom the engine loop asks.
-func (c *Controller) enginesToAsk() []instancelist.Instance {
+// enginesToPoll returns the engines whose status this node polls.
+func (c *Controller) enginesToPoll() []instancelist.Instance {
 	var all, own []instancelist.Instance
-	for _, in := range c.listed {
+	for _, in := range c.instances {
 		if in.Kind != instancelist.KindEngine {
 			continue
 		}
@@ -201,38 +209,40 @@
 			own = append(own, in)
 		}
 	}
-	if len(all) <= askAllEngines {
+	if len(all) <= pollAllEnginesMax {
 		own = all
 	}
 	return own
 }
 
-// askAllEngines is the number of engines up to which every node asks each one;
-// of more, it asks those whose home it is, and believes the ledger of the rest.
-const askAllEngines = 64
+// pollAllEnginesMax is the number of engines up to which every node polls all of
+// them. With more, a node polls those whose home it is and relies on the ledger for
+// the others.
+const pollAllEnginesMax = 64
 
-// manyOwnEngines is the number of engines from which on a node asks each only
-// every third time: their load rides on their answers anyway.
-const manyOwnEngines = 16
+// frequentPollMax is the number of polled engines up to which a node polls each
+// every engineInterval; with more, every third interval. That is enough, because
+// engines also report their load in their responses to requests.
+const frequentPollMax = 16
 
-func (c *Controller) askEngine(ctx context.Context, in instancelist.Instance) engineSeen {
+func (c *Controller) pollEngine(ctx context.Context, in instancelist.Instance) engineResult {
 	ectx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	st, err := c.Engines.Status(ectx, in.Address)
-	return engineSeen{id: in.ID, address: in.Address, status: st, ok: err == nil}
+	return engineResult{id: in.ID, address: in.Address, status: st, ok: err == nil}
 }
 
-// engineSeen is an engine's status, or its silence.
-type engineSeen struct {
+// engineResult is the result of a status call to an engine.
+type engineResult struct {
 	id      string
 	address string
 	status  engine.Status
 	ok      bool
-	// lost is true after several silences in a row.
+	// lost is true after maxEngineMisses or more consecutive failures.
 	lost bool
 }
 
-func (m engineSeen) handle(c *Controller) {
+func (m engineResult) handle(c *Controller) {
 	e := c.engines[m.id]
 	if e == nil {
 		return
@@ -241,7 +251,7 @@
 		if m.lost && e.Reachable {
 			e.Reachable = false
 			c.builder.TouchAll()
-			c.dirty = true
+			c.viewStale = true
 			c.Logger.Warn("engine does not answer", "engine", m.id)
 		}
 		return
@@ -250,14 +260,14 @@
 	if !e.Reachable {
 		e.Reachable = true
 		c.builder.TouchAll()
-		c.dirty = true
+		c.viewStale = true
 	}
 	if e.Up == nil || e.Up.GetIncarnation() != st.Incarnation {
-		// A new incarnation is not bound by the old one's leaving.
+		// A leaving notice does not apply to a new incarnation.
 		delete(c.leaving, m.id)
 		e.Leaving = false
 		c.builder.TouchAll()
-		c.dirty = true
+		c.viewStale = true
 	}
 	e.Up = &pb.EngineUp{
 		Engine: m.id, Incarnation: st.Incarnation, Address: m.address, Hall: st.Hall,
@@ -272,12 +282,13 @@
 	}
 }
 
-// demandLoop gathers this node's demand and tells it to the homes.
+// demandLoop collects the demand for units at this node every demandInterval and
+// passes it to the control goroutine, which sends it to the homes of the units.
 func (c *Controller) demandLoop(ctx context.Context) {
 	last := c.Clock.Now()
 	for ctx.Err() == nil {
 		now := c.Clock.Now()
-		all := now.Sub(last) >= demandRenew
+		all := now.Sub(last) >= demandRenewInterval
 		if all {
 			last = now
 		}
@@ -288,12 +299,12 @@
 		case <-ctx.Done():
 			return
 		case <-c.demandWake:
-		case <-c.Clock.After(demandEvery):
+		case <-c.Clock.After(demandInterval):
 		}
 	}
 }
 
-// ownDemand is this node's demand.
+// ownDemand is the demand for units at this node.
 type ownDemand struct{ reports []demand.Report }
 
 func (m ownDemand) handle(c *Controller) {
@@ -304,19 +315,20 @@
 		if u == nil {
 			continue
 		}
-		c.takeDemand(c.Self.Node, r, now)
+		c.recordDemand(c.Self.Node, r, now)
 		home := c.planner.Home(plan.HomeKey(u))
 		if home != c.Self.Node && home != "" {
-			byHome[home] = append(byHome[home], toWire(r, now))
+			byHome[home] = append(byHome[home], demandToProto(r, now))
 		}
 	}
 	for home, units := range byHome {
-		c.tellHome(home, units)
+		c.sendToHome(home, units)
 	}
 }
 
-// takeDemand enters a report and teaches the policy of the use.
-func (c *Controller) takeDemand(node string, r demand.Report, now time.Time) {
+// recordDemand stores a demand report of a node and reports the use to the policy.
+// The use of an adapter counts as a use of its base model.
+func (c *Controller) recordDemand(node string, r demand.Report, now time.Time) {
 	c.demand.Put(node, r, now)
 	if r.Waiting+r.Running+r.Arrivals == 0 {
 		return
@@ -328,7 +340,7 @@
 	}
 }
 
-func toWire(r demand.Report, now time.Time) *pb.UnitDemand {
+func demandToProto(r demand.Report, now time.Time) *pb.UnitDemand {
 	d := &pb.UnitDemand{Unit: r.Unit, Waiting: uint32(r.Waiting), Running: uint32(r.Running), Arrivals: uint32(r.Arrivals)}
 	if !r.Deadline.IsZero() {
 		d.DeadlineMs = max(1, r.Deadline.Sub(now).Milliseconds())
@@ -336,7 +348,7 @@
 	return d
 }
 
-func fromWire(d *pb.UnitDemand, now time.Time) demand.Report {
+func demandFromProto(d *pb.UnitDemand, now time.Time) demand.Report {
 	r := demand.Report{Unit: d.GetUnit(), Waiting: int(d.GetWaiting()), Running: int(d.GetRunning()), Arrivals: int(d.GetArrivals())}
 	if d.GetDeadlineMs() > 0 {
 		r.Deadline = now.Add(time.Duration(d.GetDeadlineMs()) * time.Millisecond)
@@ -344,7 +356,8 @@
 	return r
 }
 
-// peerDemand is a peer's demand, told to this node as a home.
+// peerDemand is the demand at a peer for units whose home is this node. done is
+// closed once it is stored.
 type peerDemand struct {
 	node  string
 	units []*pb.UnitDemand
@@ -354,13 +367,14 @@
 func (m peerDemand) handle(c *Controller) {
 	now := c.Clock.Now()
 	for _, d := range m.units {
-		c.takeDemand(m.node, fromWire(d, now), now)
+		c.recordDemand(m.node, demandFromProto(d, now), now)
 	}
-	// The answer comes from here, so that it proves that this goroutine lives.
+	// The report is acknowledged only now, so that the acknowledgement proves that
+	// the control goroutine is running.
 	close(m.done)
 }
 
-// homeAck notes that a home took demand.
+// homeAck reports that a home acknowledged a demand report of this node.
 type homeAck struct{ home string }
 
 func (m homeAck) handle(c *Controller) { c.homeAcked[m.home] = c.Clock.Now() }
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -6,12 +6,15 @@
 	"olivetiller/internal/metric"
 )
 
-// Metrics are the counters of the control side.
+// Metrics are the metrics of the control plane: the counts of appends by this node,
+// of applied records, accepted loads, failed log reads, repeated attempts of orders
+// and written snapshots.
 type Metrics struct {
 	Appends, Folds, Decided, LogErrors, OrderRetries, Snapshots expvar.Int
 	// Rejected counts rejected records by reason.
 	Rejected expvar.Map
-	// ConfigSpread is the time from a publish to the configuration in force here.
+	// ConfigSpread is the time in milliseconds from the proposal of a configuration
+	// change until this node applied it.
 	ConfigSpread *metric.Histogram
 }
 
@@ -21,7 +24,7 @@
 	return m
 }
 
-// Tree returns the metrics under their names.
+// Tree returns the metrics as a map by published name.
 func (m *Metrics) Tree() *expvar.Map {
 	t := new(expvar.Map).Init()
 	t.Set("appends", &m.Appends)
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -11,40 +11,43 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Times of carrying an order out.
+// Retry delay and timeout of an order.
 const (
-	orderRetry   = 200 * time.Millisecond
-	orderTimeout = plan.OrderLimit
+	orderRetryDelay = 200 * time.Millisecond
+	orderTimeout    = plan.OrderLimit
 )
 
-// orderEnd is how an order ended.
-type orderEnd struct {
+// orderResult is the result of sending an order to its engine; err is nil if the
+// engine confirmed it.
+type orderResult struct {
 	order *plan.Order
 	err   error
-	// unsure is true when an attempt before the last got no answer.
+	// unsure is true if an earlier attempt got no answer and may still take effect.
 	unsure bool
 }
 
-// errLapsed ends an order whose lease ran out before it was confirmed.
-var errLapsed = errors.New("the lease ran out")
+// errLeaseExpired is the result of an order whose lease expired before the engine
+// confirmed it.
+var errLeaseExpired = errors.New("the lease of the order expired")
 
-// execute gives an order to its engine until the engine confirms or refuses it.
+// execute sends an order to its engine repeatedly until the engine confirms or
+// refuses it.
 //
-// The lease is read on the monotonic clock right before each write: a node that
-// was paused longer than the lease finds that out here, and takes the order
-// over under a new fence instead of writing the old one.
+// The lease is checked on the monotonic clock immediately before each attempt. A
+// node that was paused for longer than the lease therefore does not send the old
+// order; it takes the order over with a new fence.
 func (c *Controller) execute(ctx context.Context, o *plan.Order) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	unsure := false
 	for {
 		if c.Clock.Now().After(o.LeaseEnd) {
-			c.inbox.Send(ctx, orderEnd{order: o, err: errLapsed, unsure: unsure})
+			c.inbox.Send(ctx, orderResult{order: o, err: errLeaseExpired, unsure: unsure})
 			return
 		}
-		err := c.write(ctx, o)
+		err := c.send(ctx, o)
 		if !errors.Is(err, engine.ErrUnknown) {
-			c.inbox.Send(ctx, orderEnd{order: o, err: err, unsure: unsure})
+			c.inbox.Send(ctx, orderResult{order: o, err: err, unsure: unsure})
 			return
 		}
 		if ctx.Err() != nil {
@@ -52,11 +55,11 @@
 		}
 		unsure = true
 		c.Metrics.OrderRetries.Add(1)
-		c.pause(ctx, orderRetry/2+rand.N(orderRetry))
+		c.pause(ctx, orderRetryDelay/2+rand.N(orderRetryDelay))
 	}
 }
 
-func (c *Controller) write(ctx context.Context, o *plan.Order) error {
+func (c *Controller) send(ctx context.Context, o *plan.Order) error {
 	eo := engine.Order{
 		Unit: o.Unit, Version: o.Version, Base: o.Base, Bytes: o.Bytes, Fence: o.Fence, Incarnation: o.Incarnation,
 	}
@@ -66,20 +69,20 @@
 	return c.Engines.Load(ctx, o.Address, eo)
 }
 
-func (m orderEnd) handle(c *Controller) {
+func (m orderResult) handle(c *Controller) {
 	o := m.order
-	if c.orders[o.Key] == o.Fence {
-		delete(c.orders, o.Key)
+	if c.sentOrders[o.Key] == o.Fence {
+		delete(c.sentOrders, o.Key)
 	}
 	p := c.state.Find(o.Key)
 	if p == nil || p.Fence != o.Fence {
-		// Another order has replaced this one; its executor speaks for it.
+		// The order was replaced; the executor of the new one reports the outcome.
 		return
 	}
 	log := c.Logger.With("unit", o.Unit, "version", o.Version, "engine", o.Engine, "fence", o.Fence)
 	switch {
 	case o.Cleanup:
-		c.cleanedUp(o, m.err, m.unsure)
+		c.handleCleanup(o, m.err, m.unsure)
 		return
 	case m.err == nil && o.Unload:
 		log.Info("unloaded")
@@ -87,30 +90,30 @@
 	case m.err == nil:
 		log.Info("loaded")
 		c.Submit(loadDone(o, m.unsure))
-	case errors.Is(m.err, errLapsed), errors.Is(m.err, engine.ErrStaleFence):
-		log.Warn("order lapsed; taking it over", "cause", m.err.Error())
+	case errors.Is(m.err, errLeaseExpired), errors.Is(m.err, engine.ErrStaleFence):
+		log.Warn("order expired or has a stale fence; taking it over", "cause", m.err.Error())
 		c.planner.ExpireLease(o.Key)
 	case errors.Is(m.err, engine.ErrReplaced):
 		log.Warn("engine was replaced during an order")
 	case o.Unload:
-		log.Warn("unload refused; repeating", "cause", m.err.Error())
+		log.Warn("unload refused; retrying", "cause", m.err.Error())
 		c.planner.ExpireLease(o.Key)
 	default:
 		log.Warn("load failed", "cause", m.err.Error())
 		c.Submit(loadFailed(o, m.err, m.unsure))
 	}
-	// Keep the fence so that the same order is not begun again while its
-	// outcome is on its way to the log.
-	c.orders[o.Key] = o.Fence
+	// Keep the fence, so that the order is not started again before its outcome is
+	// applied from the log.
+	c.sentOrders[o.Key] = o.Fence
 }
 
-// cleanedUp ends a quarantine once the engine has confirmed that it does not
-// hold the replica. After a failure, or an attempt without an answer, which may
-// still arrive and unload a later replica, the quarantine simply goes on.
-func (c *Controller) cleanedUp(o *plan.Order, err error, unsure bool) {
-	c.orders[o.Key] = o.Fence
+// handleCleanup ends a quarantine if the engine confirmed that it does not hold the
+// replica. The quarantine continues after a failure, and after an unanswered
+// attempt, because that may still reach the engine and unload a later replica.
+func (c *Controller) handleCleanup(o *plan.Order, err error, unsure bool) {
+	c.sentOrders[o.Key] = o.Fence
 	if err != nil || unsure {
-		c.Logger.Warn("quarantine goes on: the engine did not confirm", "unit", o.Unit, "engine", o.Engine, "unsure", unsure)
+		c.Logger.Warn("quarantine continues: the engine did not confirm the unload", "unit", o.Unit, "engine", o.Engine, "unsure", unsure)
 		return
 	}
 	c.Logger.Info("quarantine ends", "unit", o.Unit, "engine", o.Engine)
@@ -137,11 +140,11 @@
 	}}}
 }
 
-// forgetOrders drops orders whose placement is settled.
-func (c *Controller) forgetOrders() {
-	for k, fence := range c.orders {
+// deleteStaleOrders deletes the fences of orders that are finished or replaced.
+func (c *Controller) deleteStaleOrders() {
+	for k, fence := range c.sentOrders {
 		if p := c.state.Open[k]; p == nil || p.Fence != fence {
-			delete(c.orders, k)
+			delete(c.sentOrders, k)
 		}
 	}
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -10,39 +10,42 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Times toward peers.
+// Intervals and timeouts of calls to peers.
 const (
-	probeEvery   = time.Second
-	probeTimeout = time.Second
-	tellTimeout  = time.Second
-	fetchTimeout = 3 * time.Second
-	// fetchMost bounds the entries that a peer gives at once.
-	fetchMost = 500
+	probeInterval = time.Second
+	probeTimeout  = time.Second
+	notifyTimeout = time.Second
+	fetchTimeout  = 3 * time.Second
+	// maxFetchedEntries bounds the log entries in one answer to a peer.
+	maxFetchedEntries = 500
 )
 
-// Members returns the other nodes that are listed or were heard of.
+// Members returns the other nodes that have an address and are in the instance
+// list or were recently alive.
 func (c *Controller) Members(ctx context.Context) []membership.Member {
 	out, _ := ask(ctx, c, func(c *Controller) []membership.Member { return c.members.Peers(c.Clock.Now()) })
 	return out
 }
 
-// call sends a request to a member.
+// call sends a request to a member and returns its response. A response counts as
+// evidence that the member is alive.
 func (c *Controller) call(ctx context.Context, m membership.Member, timeout time.Duration, req *pb.PeerRequest) (*pb.PeerResponse, error) {
 	cctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	resp, err := c.Peers.Call(cctx, m.Node, m.Address, req)
 	if err == nil {
-		c.inbox.Send(ctx, peerHeard{ref: ledger.NodeRef{Node: resp.GetNode(), Incarnation: resp.GetIncarnation()}})
+		c.inbox.Send(ctx, peerContact{ref: ledger.NodeRef{Node: resp.GetNode(), Incarnation: resp.GetIncarnation()}})
 	}
 	return resp, err
 }
 
-// peerHeard is a sign of life of a node.
-type peerHeard struct{ ref ledger.NodeRef }
+// peerContact is direct evidence that a node incarnation is alive.
+type peerContact struct{ ref ledger.NodeRef }
 
-func (m peerHeard) handle(c *Controller) { c.members.Heard(m.ref, c.Clock.Now()) }
+func (m peerContact) handle(c *Controller) { c.members.Heard(m.ref, c.Clock.Now()) }
 
-// probeLoop asks the neighbours for a sign of life and for what they have folded.
+// probeLoop probes the neighbours every probeInterval. Their answers prove that
+// they are alive and tell their next offset.
 func (c *Controller) probeLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		round, ok := ask(ctx, c, (*Controller).nextProbes)
@@ -52,29 +55,30 @@
 		for _, m := range round.targets {
 			go c.probe(ctx, m, round.news)
 		}
-		c.pause(ctx, probeEvery)
+		c.pause(ctx, probeInterval)
 	}
 }
 
-// probeRound is whom to probe and what to tell them.
-type probeRound struct {
+// probeTargets holds the members to probe and the membership news to send to them.
+type probeTargets struct {
 	targets []membership.Member
 	news    []*pb.News
 }
 
 // nextProbes returns the next round of probes.
-func (c *Controller) nextProbes() probeRound {
+func (c *Controller) nextProbes() probeTargets {
 	now := c.Clock.Now()
-	targets, watched := membership.Round(c.Self.Node, c.members.Peers(now), c.round)
-	c.round++
-	// The feeder is probed too: its answer says whether it is ahead.
+	targets, watched := membership.Round(c.Self.Node, c.members.Peers(now), c.probeRound)
+	c.probeRound++
+	// The feeder is probed too: its answer tells whether it has newer entries.
 	if f, ok := c.members.Member(c.feed.Feeder); ok && !probed(targets, f.Node) {
 		targets = append(targets, f)
 	}
 	c.members.Probing(watched, now)
-	return probeRound{targets: targets, news: c.newsOut(now)}
+	return probeTargets{targets: targets, news: c.newsToProto(now)}
 }
 
+// probed reports whether targets contains the node with this name.
 func probed(targets []membership.Member, name string) bool {
 	for _, m := range targets {
 		if m.Node == name {
@@ -84,7 +88,7 @@
 	return false
 }
 
-func (c *Controller) newsOut(now time.Time) []*pb.News {
+func (c *Controller) newsToProto(now time.Time) []*pb.News {
 	var out []*pb.News
 	for _, n := range c.members.News(now) {
 		out = append(out, &pb.News{Node: n.Node, Incarnation: n.Incarnation, AgeMs: n.Age.Milliseconds(), Silent: n.Silent})
@@ -92,7 +96,7 @@
 	return out
 }
 
-func (c *Controller) takeNews(list []*pb.News, now time.Time) {
+func (c *Controller) mergeNews(list []*pb.News, now time.Time) {
 	for _, n := range list {
 		c.members.Take(membership.News{
 			NodeRef: ledger.NodeRef{Node: n.GetNode(), Incarnation: n.GetIncarnation()},
@@ -107,32 +111,32 @@
 	if err != nil || resp.GetAck() == nil {
 		return
 	}
-	c.inbox.Send(ctx, acked{from: m, ack: resp.GetAck()})
+	c.inbox.Send(ctx, probeAnswered{from: m, ack: resp.GetAck()})
 }
 
-// acked is a peer's answer to a probe.
-type acked struct {
+// probeAnswered is the answer of a peer to a probe.
+type probeAnswered struct {
 	from membership.Member
 	ack  *pb.Ack
 }
 
-func (m acked) handle(c *Controller) {
+func (m probeAnswered) handle(c *Controller) {
 	now := c.Clock.Now()
-	c.heard.Store(now.UnixNano())
+	c.lastContact.Store(now.UnixNano())
 	if m.ack.GetStopping() {
 		c.members.SetLeaving(m.from.Node)
 	}
-	c.takeNews(m.ack.GetNews(), now)
+	c.mergeNews(m.ack.GetNews(), now)
 	if m.from.Node == c.feed.Feeder {
-		c.fedAt.Store(now.UnixNano())
+		c.feederAckedAt.Store(now.UnixNano())
 	}
 	if c.booted && m.ack.GetNextOffset() > c.state.NextOffset {
 		go c.fetchFrom(m.from, c.state.NextOffset)
 	}
 }
 
-// fetchFrom asks a peer that is further for the entries of the log, so that a
-// node cut off from the log stays current.
+// fetchFrom fetches log entries from a peer that has applied more, so that a node
+// without access to the log stays up to date.
 func (c *Controller) fetchFrom(m membership.Member, from uint64) {
 	ctx := context.Background()
 	resp, err := c.call(ctx, m, fetchTimeout, &pb.PeerRequest{Body: &pb.PeerRequest_LogFetch{LogFetch: &pb.LogFetch{From: from}}})
@@ -147,32 +151,34 @@
 	c.inbox.Send(ctx, entries{list: list, target: target})
 }
 
-// spread passes a request on to the peers it should reach next. The control
-// goroutine calls it.
-func (c *Controller) spread(to []membership.Member, req *pb.PeerRequest) {
+// sendToAll sends a request to members in the background and ignores the answers.
+// It is called by the control goroutine.
+func (c *Controller) sendToAll(to []membership.Member, req *pb.PeerRequest) {
 	for _, m := range to {
 		r := &pb.PeerRequest{Body: req.Body}
-		go func() { _, _ = c.call(context.Background(), m, tellTimeout, r) }()
+		go func() { _, _ = c.call(context.Background(), m, notifyTimeout, r) }()
 	}
 }
 
-// toNeighbours passes a request on to the neighbours; what is news to them they
-// pass on in turn.
-func (c *Controller) toNeighbours(req *pb.PeerRequest) {
-	c.spread(membership.Neighbours(c.Self.Node, c.members.Peers(c.Clock.Now())), req)
+// sendToNeighbours sends a request to the neighbours, which forward to theirs what
+// they did not know.
+func (c *Controller) sendToNeighbours(req *pb.PeerRequest) {
+	c.sendToAll(membership.Neighbours(c.Self.Node, c.members.Peers(c.Clock.Now())), req)
 }
 
-// pushed makes the control goroutine pass entries of the log on.
-type pushed struct{ list []*pb.LogEntry }
+// forwardEntries makes the control goroutine forward log entries to the followers
+// of this node in the feed.
+type forwardEntries struct{ list []*pb.LogEntry }
 
-func (m pushed) handle(c *Controller) {
+func (m forwardEntries) handle(c *Controller) {
 	if len(m.list) > 0 && len(c.feed.Fed) > 0 {
-		c.spread(c.feed.Fed, &pb.PeerRequest{Body: &pb.PeerRequest_LogPush{LogPush: &pb.LogPush{Entries: m.list}}})
+		c.sendToAll(c.feed.Fed, &pb.PeerRequest{Body: &pb.PeerRequest_LogPush{LogPush: &pb.LogPush{Entries: m.list}}})
 	}
 }
 
-// refeed works out anew how records of the log reach this node and others.
-func (c *Controller) refeed(now time.Time) {
+// updateFeed computes the feed of this node from the members that are alive and not
+// leaving: whether it tails the log, its feeder and its followers.
+func (c *Controller) updateFeed(now time.Time) {
 	live := c.members.Peers(now)
 	kept := live[:0]
 	for _, m := range live {
@@ -181,20 +187,22 @@
 		}
 	}
 	c.feed = membership.FeedOf(c.Self.Node, c.Hall, kept)
-	c.tails.Store(c.feed.Tails)
+	c.tailsLog.Store(c.feed.Tails)
 }
 
-// feedSilence is how long a node waits for its feeder before it reads the log
-// itself.
-const feedSilence = 2 * time.Second
+// feederTimeout is the time since the feeder's last answer after which a node reads
+// the log itself.
+const feederTimeout = 2 * time.Second
 
-// tailsNow reports whether this node should read the log itself now.
-func (c *Controller) tailsNow() bool {
-	return c.tails.Load() || c.Clock.Now().Sub(time.Unix(0, c.fedAt.Load())) > feedSilence
+// shouldTail reports whether this node should read the log itself now: by the feed,
+// or because its feeder does not answer.
+func (c *Controller) shouldTail() bool {
+	return c.tailsLog.Load() || c.Clock.Now().Sub(time.Unix(0, c.feederAckedAt.Load())) > feederTimeout
 }
 
-// tellHome sends demand to a home. The control goroutine calls it.
-func (c *Controller) tellHome(home string, units []*pb.UnitDemand) {
+// sendToHome sends a demand report to a home in the background. It is called by the
+// control goroutine.
+func (c *Controller) sendToHome(home string, units []*pb.UnitDemand) {
 	m, ok := c.members.Member(home)
 	if !ok {
 		return
@@ -202,22 +210,22 @@
 	req := &pb.PeerRequest{Body: &pb.PeerRequest_Demand{Demand: &pb.Demand{Units: units}}}
 	go func() {
 		ctx := context.Background()
-		if _, err := c.call(ctx, m, tellTimeout, req); err == nil {
+		if _, err := c.call(ctx, m, notifyTimeout, req); err == nil {
 			c.inbox.Send(ctx, homeAck{home: home})
 		}
 	}()
 }
 
-// Answers is how the control side answers peers' questions for answers to
-// once-only requests.
+// Answers provides the answers to once-only requests that this node ran.
 type Answers interface {
+	// Fetch returns the answer to a request, or the state of its run.
 	Fetch(ctx context.Context, f *pb.AnswerFetch) *pb.Answer
 }
 
-// PeerHandler returns the handler of peers' requests.
+// PeerHandler returns the handler of requests from peers.
 func (c *Controller) PeerHandler(answers Answers) node.Handler {
 	return func(ctx context.Context, from ledger.NodeRef, req *pb.PeerRequest) *pb.PeerResponse {
-		c.inbox.Send(ctx, peerHeard{ref: from})
+		c.inbox.Send(ctx, peerContact{ref: from})
 		switch b := req.GetBody().(type) {
 		case *pb.PeerRequest_Ping:
 			return c.answerPing(ctx, b.Ping)
@@ -235,7 +243,7 @@
 		case *pb.PeerRequest_SnapshotFetch:
 			return &pb.PeerResponse{Body: &pb.PeerResponse_Snapshot{Snapshot: c.encodeState(ctx)}}
 		case *pb.PeerRequest_Leaving:
-			c.inbox.Send(ctx, leavingTold{ids: b.Leaving.GetInstances()})
+			c.inbox.Send(ctx, leavingReported{ids: b.Leaving.GetInstances()})
 		case *pb.PeerRequest_AnswerFetch:
 			return &pb.PeerResponse{Body: &pb.PeerResponse_Answer{Answer: answers.Fetch(ctx, b.AnswerFetch)}}
 		}
@@ -243,17 +251,17 @@
 	}
 }
 
-// pinged takes a peer's probe in and returns the answer.
-func (c *Controller) pinged(ping *pb.Ping) *pb.Ack {
+// handlePing merges the membership news of a probe and returns the answer to it.
+func (c *Controller) handlePing(ping *pb.Ping) *pb.Ack {
 	now := c.Clock.Now()
-	c.takeNews(ping.GetNews(), now)
-	return &pb.Ack{NextOffset: c.state.NextOffset, Stopping: c.stopping.Load(), News: c.newsOut(now)}
+	c.mergeNews(ping.GetNews(), now)
+	return &pb.Ack{NextOffset: c.state.NextOffset, Stopping: c.stopping.Load(), News: c.newsToProto(now)}
 }
 
-// answerPing answers a probe from the control goroutine, so that the answer
-// proves that it lives.
+// answerPing answers a probe. The answer is made by the control goroutine, so that
+// it proves that the goroutine is running.
 func (c *Controller) answerPing(ctx context.Context, ping *pb.Ping) *pb.PeerResponse {
-	ack, ok := ask(ctx, c, func(c *Controller) *pb.Ack { return c.pinged(ping) })
+	ack, ok := ask(ctx, c, func(c *Controller) *pb.Ack { return c.handlePing(ping) })
 	if !ok {
 		ack = &pb.Ack{}
 	}
--- a/internal/control/snapshots.go
+++ b/internal/control/snapshots.go
@@ -12,50 +12,59 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Sizes of snapshots.
+// Sizes, limits and timeout of snapshots.
 const (
+	// chunkBytes is the size of the chunks in which a snapshot is written.
 	chunkBytes = 256 << 10
-	// maxChunks bounds a snapshot: 4 GB, far beyond the letter's 1.3 MB.
+	// maxChunks bounds a snapshot to 4 GB; snapshots of about 1.3 MB are expected.
 	maxChunks = 1 << 14
-	// recentMost bounds the entries kept for peers.
-	recentMost = 4096
-	// marksKept bounds the marks whose hashes are remembered.
-	marksKept = 16
-	// snapshotHome is the key whose home writes snapshots.
-	snapshotHome = "snapshots"
+	// maxRecentEntries is the least number of latest log entries kept for peers;
+	// up to twice as many are held.
+	maxRecentEntries = 4096
+	// keptMarks bounds the latest marks whose hashes are kept, in multiples of
+	// SnapshotEvery entries.
+	keptMarks = 16
+	// snapshotHomeKey is the key whose home node writes snapshots.
+	snapshotHomeKey = "snapshots"
+	// chunkTimeout bounds the append of one chunk.
 	chunkTimeout = 10 * time.Second
 )
 
-// snapshots is what a node keeps for snapshots and for peers that are behind.
+// snapshots holds the hashes of the state at marks, by which nodes detect
+// divergence, and the latest log entries, for peers that are behind. A mark is a
+// record at which every node hashes its state.
 type snapshots struct {
-	// marks holds the own hash at each mark.
-	marks map[uint64][32]byte
-	// votes holds the hashes that nodes published for each mark.
+	// ownHashes holds this node's hash at each mark, by offset of the mark.
+	ownHashes map[uint64][32]byte
+	// votes holds the hashes that nodes published for each mark, by offset and node.
 	votes map[uint64]map[string][32]byte
-	// lastMark is the offset of the latest mark folded.
+	// lastMark is the offset of the latest mark applied, or of the state loaded at
+	// boot.
 	lastMark uint64
-	// proposed is set while an own mark is on its way.
-	proposed time.Time
+	// proposedAt is when this node last proposed a mark.
+	proposedAt time.Time
 
+	// mu guards recent, which peer requests read.
 	mu     sync.Mutex
 	recent []*pb.LogEntry
 }
 
 func newSnapshots() snapshots {
-	return snapshots{marks: make(map[uint64][32]byte), votes: make(map[uint64]map[string][32]byte)}
+	return snapshots{ownHashes: make(map[uint64][32]byte), votes: make(map[uint64]map[string][32]byte)}
 }
 
-// keep remembers an entry for peers that are behind.
-func (s *snapshots) keep(offset uint64, data []byte) {
+// addRecent keeps an applied entry for peers that are behind.
+func (s *snapshots) addRecent(offset uint64, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recent = append(s.recent, &pb.LogEntry{Offset: offset, Data: data})
-	if len(s.recent) > 2*recentMost {
-		s.recent = append([]*pb.LogEntry(nil), s.recent[recentMost:]...)
+	if len(s.recent) > 2*maxRecentEntries {
+		s.recent = append([]*pb.LogEntry(nil), s.recent[maxRecentEntries:]...)
 	}
 }
 
-// recent returns kept entries from an offset on, or none if it is too old.
+// recent returns up to maxFetchedEntries kept entries from an offset on, or none if
+// the entry at the offset is no longer kept or not yet applied.
 func (c *Controller) recent(from uint64) []*pb.LogEntry {
 	c.snap.mu.Lock()
 	defer c.snap.mu.Unlock()
@@ -67,44 +76,44 @@
 		return nil
 	}
 	out := c.snap.recent[i:]
-	if len(out) > fetchMost {
-		out = out[:fetchMost]
+	if len(out) > maxFetchedEntries {
+		out = out[:maxFetchedEntries]
 	}
 	return append([]*pb.LogEntry(nil), out...)
 }
 
-// maybeMark proposes a mark when enough was folded since the last one and this
-// node is the home of snapshots.
-func (c *Controller) maybeMark() {
+// proposeMark proposes a mark if SnapshotEvery entries were applied since the last
+// one and this node is the home of snapshots.
+func (c *Controller) proposeMark() {
 	now := c.Clock.Now()
-	if c.state.NextOffset < c.snap.lastMark+c.SnapshotEvery || c.planner.Home(snapshotHome) != c.Self.Node {
+	if c.state.NextOffset < c.snap.lastMark+c.SnapshotEvery || c.planner.Home(snapshotHomeKey) != c.Self.Node {
 		return
 	}
-	if now.Sub(c.snap.proposed) < 5*time.Second {
+	if now.Sub(c.snap.proposedAt) < 5*time.Second {
 		return
 	}
-	c.snap.proposed = now
+	c.snap.proposedAt = now
 	c.Submit(&pb.Record{Body: &pb.Record_Mark{Mark: &pb.Mark{}}})
 }
 
-// onMark hashes the state at a mark. Every node does so at the same record, so
-// the hashes must be equal; the mark's proposer also writes the snapshot.
+// markApplied hashes the state at a mark. Every node does so at the same record, so
+// all hashes must be equal. The mark's proposer also writes the snapshot.
 //
-// The state is taken inside the entry that holds the mark, so the snapshot says
-// that the entry must be folded again from its start: the sequence numbers make
-// the records before the mark repeats, and those after it are folded for the
-// first time.
-func (c *Controller) onMark(o ledger.Outcome) {
+// The snapshot is taken in the middle of the log entry that holds the mark, and its
+// next offset is that entry: a node that restores it applies the entry again from
+// the start. The records before the mark are then rejected as duplicates by their
+// sequence numbers, and those after it are applied for the first time.
+func (c *Controller) markApplied(o ledger.Outcome) {
 	c.snap.lastMark = o.Offset
 	data, hash, err := ledger.Encode(c.state.Snapshot())
 	if err != nil {
 		c.Logger.Error("snapshot failed", "error", err.Error())
 		return
 	}
-	c.snap.marks[o.Offset] = hash
-	for at := range c.snap.marks {
-		if at+marksKept*c.SnapshotEvery < o.Offset {
-			delete(c.snap.marks, at)
+	c.snap.ownHashes[o.Offset] = hash
+	for at := range c.snap.ownHashes {
+		if at+keptMarks*c.SnapshotEvery < o.Offset {
+			delete(c.snap.ownHashes, at)
 			delete(c.snap.votes, at)
 		}
 	}
@@ -129,7 +138,7 @@
 		_, err = c.Snapshots.Append(ctx, chunk)
 		cancel()
 		if err != nil {
-			c.Logger.Warn("snapshot not written; the next mark tries again", "error", err.Error())
+			c.Logger.Warn("cannot write snapshot; retrying at the next mark", "error", err.Error())
 			return
 		}
 	}
@@ -141,11 +150,12 @@
 	return &pb.Record{Body: &pb.Record_MarkHash{MarkHash: &pb.MarkHash{MarkOffset: mark, Hash: hash[:]}}}
 }
 
-// onMarkHash compares a published hash with the own. On a difference every node
-// publishes its own, once; the node whose hash has fewer votes than another has
-// diverged and serves nothing more.
-func (c *Controller) onMarkHash(from string, m *pb.MarkHash) {
-	own, ok := c.snap.marks[m.GetMarkOffset()]
+// compareHash compares the hash that a node published for a mark with this node's
+// own. If they differ, this node publishes its own hash too, once per mark. A node
+// whose hash has fewer votes than another hash with at least two votes has diverged
+// and stops serving.
+func (c *Controller) compareHash(from string, m *pb.MarkHash) {
+	own, ok := c.snap.ownHashes[m.GetMarkOffset()]
 	if !ok {
 		return
 	}
@@ -158,7 +168,7 @@
 	copy(theirs[:], m.GetHash())
 	votes[from] = theirs
 	if theirs != own {
-		c.Logger.Error("states differ", "mark", m.GetMarkOffset(), "node", from)
+		c.Logger.Error("state hash of another node differs", "mark", m.GetMarkOffset(), "node", from)
 		if _, voted := votes[c.Self.Node]; !voted {
 			votes[c.Self.Node] = own
 			c.Submit(markHash(m.GetMarkOffset(), own))
@@ -166,12 +176,13 @@
 	}
 	if outvoted(votes, own) {
 		c.diverged = true
-		c.dirty = true
-		c.Logger.Error("this node's state has diverged; it serves nothing more: replace it", "mark", m.GetMarkOffset())
+		c.viewStale = true
+		c.Logger.Error("this node's state has diverged; it stops serving: replace the node", "mark", m.GetMarkOffset())
 	}
 }
 
-// outvoted reports whether another hash has at least two votes and more than own.
+// outvoted reports whether a hash other than own has at least two votes and more
+// votes than own.
 func outvoted(votes map[string][32]byte, own [32]byte) bool {
 	count := make(map[[32]byte]int)
 	for _, h := range votes {
@@ -185,7 +196,8 @@
 	return false
 }
 
-// encodeState returns the folded state for a peer.
+// encodeState returns the encoded state for a peer; it is empty if the context ends
+// first.
 func (c *Controller) encodeState(ctx context.Context) *pb.PeerSnapshot {
 	s, ok := ask(ctx, c, (*Controller).snapshotNow)
 	if !ok {
@@ -194,7 +206,8 @@
 	return s
 }
 
-// snapshotNow returns the folded state, or an empty one that no peer takes.
+// snapshotNow returns the encoded state, or an empty message, which peers ignore, if
+// this node has not booted or has diverged.
 func (c *Controller) snapshotNow() *pb.PeerSnapshot {
 	if !c.booted || c.diverged {
 		return &pb.PeerSnapshot{}
@@ -206,7 +219,8 @@
 	return &pb.PeerSnapshot{Data: data, Hash: hash[:]}
 }
 
-// assemble returns the newest whole snapshot among chunks.
+// assemble returns the state of the newest complete and undamaged snapshot among
+// chunks, which may come duplicated and in any order; nil if there is none.
 func assemble(chunks []*pb.SnapshotChunk) *ledger.State {
 	type part struct {
 		data  [][]byte
@@ -217,7 +231,7 @@
 	var best *ledger.State
 	for _, ch := range chunks {
 		if ch.GetCount() > maxChunks {
-			// No snapshot is that long: the entry is damaged.
+			// The chunk is damaged; allocating that many parts could exhaust memory.
 			continue
 		}
 		key := string(ch.GetHash())
--- a/internal/control/snapshots_test.go
+++ b/internal/control/snapshots_test.go
@@ -9,8 +9,9 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// TestOutvoted gives the hashes that nodes published for a mark and expects who
-// must serve nothing more.
+// TestOutvoted checks which node counts as diverged for given hashes of a mark. A
+// node must not stop serving because of a single differing hash, since either side
+// may be wrong.
 func TestOutvoted(t *testing.T) {
 	a, b := [32]byte{1}, [32]byte{2}
 	tests := []struct {
@@ -34,7 +35,7 @@
 	}
 }
 
-// snapshotAt returns the chunks of a state that has folded up to an offset.
+// snapshotAt returns the chunks of a snapshot whose next offset is next.
 func snapshotAt(t *testing.T, next uint64, chunks int) []*pb.SnapshotChunk {
 	t.Helper()
 	s := ledger.NewState()
@@ -53,7 +54,8 @@
 	return out
 }
 
-// TestAssemble reads streams of chunks and expects the newest whole snapshot.
+// TestAssemble checks that the newest complete snapshot is found among incomplete,
+// damaged, duplicated and reordered chunks.
 func TestAssemble(t *testing.T) {
 	whole := snapshotAt(t, 700, 2)
 	newer := snapshotAt(t, 900, 3)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -10,7 +10,9 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Status describes the node for operators.
+// Status returns the status of the node for operators: the units, the endpoints and
+// the node's position in the log. It holds just the node's name if the context ends
+// first.
 func (c *Controller) Status(ctx context.Context) *pb.StatusResponse {
 	st, ok := ask(ctx, c, func(c *Controller) *pb.StatusResponse { return c.status(c.Clock.Now()) })
 	if !ok {
