--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -4,42 +4,44 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// DefaultConcurrency is the number of requests one replica runs at once when
-// the configuration leaves it open.
+// DefaultConcurrency is the number of requests that one replica runs concurrently
+// if the configuration does not set it.
 const DefaultConcurrency = 8
 
-// Unit is what is loaded and placed: a base model or an adapter.
+// Unit is a base model or an adapter, the unit of loading and placement.
 type Unit struct {
-	// Name is unique among models and adapters, never empty.
+	// Name is unique among models and adapters; never empty.
 	Name string
-	// Base is the unit that must be loaded on the same engine; empty for a model.
+	// Base is the base model of an adapter, which must be loaded on the same engine;
+	// empty for a model.
 	Base string
-	// Versions maps a version to its weights in bytes; never empty.
+	// Versions holds the size of the weights in bytes by version; never empty.
 	Versions map[string]uint64
-	// Serving is a key of Versions.
+	// Serving is the version that serves requests, a key of Versions.
 	Serving string
-	// ReservedBytes is held beside the weights of each replica.
+	// ReservedBytes is the engine memory that each replica needs beside its weights.
 	ReservedBytes uint64
-	// MaxReplicas bounds the replicas of one version, at least 1.
+	// MaxReplicas bounds the replicas of one version; at least 1.
 	MaxReplicas int
-	// Halls restricts the data halls it may run in; empty means all.
+	// Halls holds the data halls in which the unit may run; empty means all.
 	Halls []string
-	// Store names the weight store; adapters inherit their base model's.
+	// Store is the weight store of the unit; adapters use that of their base model.
 	Store string
-	// Concurrency is how many requests one replica runs at once, at least 1.
+	// Concurrency is the number of requests that one replica runs concurrently; at
+	// least 1.
 	Concurrency int
-	// Pinned units keep one replica whatever the demand.
+	// Pinned is true if one replica stays loaded without demand.
 	Pinned bool
-	// Banned units are refused and unloaded.
+	// Banned is true if requests for the unit are refused and its replicas unloaded.
 	Banned bool
 }
 
-// Bytes returns what a replica of version takes of an engine's memory.
+// Bytes returns the engine memory in bytes that a replica of a version needs.
 func (u *Unit) Bytes(version string) uint64 {
 	return u.Versions[version] + u.ReservedBytes
 }
 
-// AllowsHall reports whether the unit may run in the data hall.
+// AllowsHall reports whether the unit may run in a data hall.
 func (u *Unit) AllowsHall(hall string) bool {
 	if len(u.Halls) == 0 {
 		return true
@@ -52,9 +54,9 @@
 	return false
 }
 
-// Catalog is an indexed configuration. It is never changed once made.
+// Catalog is an indexed configuration. It is immutable.
 type Catalog struct {
-	// Config is the configuration as published; read only.
+	// Config is the indexed configuration; it must not be modified.
 	Config *pb.Config
 	// Units holds every model and adapter by name.
 	Units map[string]*Unit
@@ -62,11 +64,12 @@
 	Services map[string]*pb.Service
 	// Callers holds the callers by the hex SHA-256 of their token.
 	Callers map[string]*pb.Caller
-	// StoreSlots holds the load slots of each weight store.
+	// StoreSlots holds the number of load slots, that is of concurrent loads, of each
+	// weight store.
 	StoreSlots map[string]int
 }
 
-// New indexes a configuration that [Check] found no fault in.
+// New indexes a configuration in which [Check] found no fault.
 func New(cfg *pb.Config) *Catalog {
 	c := &Catalog{
 		Config:     cfg,
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -10,7 +10,7 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-func goodConfig() *pb.Config {
+func validConfig() *pb.Config {
 	v := []*pb.Version{{Name: "v1", WeightBytes: 1}}
 	return &pb.Config{
 		WeightStores: []*pb.WeightStore{{Name: "s", LoadSlots: 1}},
@@ -19,7 +19,8 @@
 	}
 }
 
-// TestCheck breaks a good configuration and expects the paths of all faults.
+// TestCheck edits a valid configuration so that it becomes invalid, and expects the
+// paths of all its faults.
 func TestCheck(t *testing.T) {
 	tests := []struct {
 		name string
@@ -42,7 +43,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			cfg := goodConfig()
+			cfg := validConfig()
 			tc.edit(cfg)
 			var got []string
 			for _, f := range Check(cfg) {
@@ -58,9 +59,10 @@
 	}
 }
 
-// TestMergeUndoesDiff draws two configurations and expects that the change from
-// one to the other leads there.
-func TestMergeUndoesDiff(t *testing.T) {
+// TestMergeAppliesDiff checks for random pairs of configurations that merging their
+// difference into the first yields the second. Otherwise nodes would apply another
+// configuration than the operator published.
+func TestMergeAppliesDiff(t *testing.T) {
 	draw := func(rt *rapid.T, label string) *pb.Config {
 		c := &pb.Config{}
 		for _, name := range []string{"a", "b", "c"} {
--- a/core/catalog/change.go
+++ b/core/catalog/change.go
@@ -8,20 +8,21 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// item is what every list of the configuration holds.
-type item interface {
+// namedItem is an item of a list of the configuration.
+type namedItem interface {
 	proto.Message
 	GetName() string
 }
 
-// section is one list of the configuration, with its name in removals.
-type section[T item] struct {
+// section is one list of the configuration. kind is its prefix in the "kind/name"
+// strings of a removal list.
+type section[T namedItem] struct {
 	kind string
 	list func(*pb.Config) *[]T
 }
 
-// singletonWeights names the weights of the two measures in a removal list.
-const singletonWeights = "weights"
+// weightsKey stands for the policy weights in a removal list.
+const weightsKey = "weights"
 
 var (
 	modelSection     = section[*pb.Model]{"models", func(c *pb.Config) *[]*pb.Model { return &c.Models }}
@@ -32,8 +33,9 @@
 	objectiveSection = section[*pb.Objective]{"objectives", func(c *pb.Config) *[]*pb.Objective { return &c.Objectives }}
 )
 
-// Diff returns the items of next that are new or different, and the
-// "kind/name" of those that next lacks. Merge(base, Diff(base, next)) equals next.
+// Diff returns the items of next that base lacks or has with other content, and the
+// sorted "kind/name" strings, per kind, of the items that next lacks. Applying both
+// to base with [Merge] yields next.
 func Diff(base, next *pb.Config) (upsert *pb.Config, remove []string) {
 	upsert = &pb.Config{}
 	remove = append(remove, modelSection.diff(base, next, upsert)...)
@@ -45,15 +47,16 @@
 	switch {
 	case proto.Equal(base.GetWeights(), next.GetWeights()):
 	case next.GetWeights() == nil:
-		remove = append(remove, singletonWeights)
+		remove = append(remove, weightsKey)
 	default:
 		upsert.Weights = next.GetWeights()
 	}
 	return upsert, remove
 }
 
-// Merge returns base with the change applied, each list ordered by name. It
-// leaves base as it was; unchanged items are shared with it.
+// Merge returns base with the items of upsert inserted or replaced and those in
+// remove deleted. Each list is sorted by name. It does not modify base; the result
+// shares unchanged items with it.
 func Merge(base, upsert *pb.Config, remove []string) *pb.Config {
 	gone := make(map[string]bool, len(remove))
 	for _, r := range remove {
@@ -66,7 +69,7 @@
 	callerSection.merge(base, upsert, gone, out)
 	storeSection.merge(base, upsert, gone, out)
 	objectiveSection.merge(base, upsert, gone, out)
-	if gone[singletonWeights] {
+	if gone[weightsKey] {
 		out.Weights = nil
 	}
 	if upsert.GetWeights() != nil {
@@ -75,7 +78,8 @@
 	return out
 }
 
-// ChangedItems counts the items a change touches.
+// ChangedItems returns the number of items that a change inserts, replaces or
+// removes.
 func ChangedItems(upsert *pb.Config, remove []string) int {
 	n := len(remove) + len(upsert.GetModels()) + len(upsert.GetAdapters()) + len(upsert.GetServices()) +
 		len(upsert.GetCallers()) + len(upsert.GetWeightStores()) + len(upsert.GetObjectives())
--- a/core/catalog/check.go
+++ b/core/catalog/check.go
@@ -8,22 +8,22 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Fault is one thing wrong with a configuration.
+// Fault is one error in a configuration.
 type Fault struct {
 	// Path names the item and field, as in "models[label-a].versions".
 	Path string
-	// Problem says what is wrong.
+	// Problem describes the error.
 	Problem string
-	// Remedy says what the operator can do about it.
+	// Remedy describes how the operator can correct it.
 	Remedy string
 }
 
-// Error implements error.
+// Error implements error: it returns path, problem and remedy in one line.
 func (f Fault) Error() string {
 	return fmt.Sprintf("%s: %s; %s", f.Path, f.Problem, f.Remedy)
 }
 
-// Objective names that [Check] accepts.
+// The names of service level objectives that [Check] accepts.
 const (
 	ObjectiveColdStart     = "coldStart"
 	ObjectiveFirstToken    = "firstToken"
@@ -36,15 +36,17 @@
 
 const nameRemedy = "use 1 to 128 letters, digits, '.', '_' or '-', beginning with a letter or digit"
 
-// checker collects faults; units maps each name seen to its path.
-type checker struct {
+// validator collects the faults of a configuration. units holds the path of each
+// model and adapter by name.
+type validator struct {
 	faults []Fault
 	units  map[string]string
 }
 
-// Check returns every fault of a configuration, in the order of its items.
+// Check returns all faults of a configuration, in the order of its items; none if
+// it is valid.
 func Check(cfg *pb.Config) []Fault {
-	c := &checker{units: make(map[string]string)}
+	c := &validator{units: make(map[string]string)}
 	stores := c.stores(cfg.GetWeightStores())
 	models := c.models(cfg.GetModels(), stores)
 	c.adapters(cfg.GetAdapters(), models)
@@ -55,12 +57,13 @@
 	return c.faults
 }
 
-func (c *checker) add(path, problem, remedy string) {
+func (c *validator) add(path, problem, remedy string) {
 	c.faults = append(c.faults, Fault{Path: path, Problem: problem, Remedy: remedy})
 }
 
-// name checks one name against the pattern and the names in seen.
-func (c *checker) name(path, name string, seen map[string]string) {
+// name reports a fault if a name does not match the pattern or is in seen already;
+// otherwise it adds the name to seen.
+func (c *validator) name(path, name string, seen map[string]string) {
 	if !namePattern.MatchString(name) {
 		c.add(path+".name", fmt.Sprintf("%q is not a name", name), nameRemedy)
 		return
@@ -72,7 +75,7 @@
 	seen[name] = path
 }
 
-func (c *checker) stores(stores []*pb.WeightStore) map[string]string {
+func (c *validator) stores(stores []*pb.WeightStore) map[string]string {
 	seen := make(map[string]string)
 	for _, s := range stores {
 		path := fmt.Sprintf("weightStores[%s]", s.GetName())
@@ -84,7 +87,7 @@
 	return seen
 }
 
-func (c *checker) models(models []*pb.Model, stores map[string]string) map[string]string {
+func (c *validator) models(models []*pb.Model, stores map[string]string) map[string]string {
 	seen := make(map[string]string)
 	for _, m := range models {
 		path := fmt.Sprintf("models[%s]", m.GetName())
@@ -104,7 +107,7 @@
 	return seen
 }
 
-func (c *checker) adapters(adapters []*pb.Adapter, models map[string]string) {
+func (c *validator) adapters(adapters []*pb.Adapter, models map[string]string) {
 	for _, a := range adapters {
 		path := fmt.Sprintf("adapters[%s]", a.GetName())
 		c.name(path, a.GetName(), c.units)
@@ -118,7 +121,7 @@
 	}
 }
 
-func (c *checker) versions(path string, vs []*pb.Version, serving string) {
+func (c *validator) versions(path string, vs []*pb.Version, serving string) {
 	if len(vs) == 0 {
 		c.add(path+".versions", "there is no version", "declare at least one")
 		return
@@ -136,7 +139,7 @@
 	}
 }
 
-func (c *checker) services(services []*pb.Service) {
+func (c *validator) services(services []*pb.Service) {
 	seen := make(map[string]string)
 	for _, s := range services {
 		path := fmt.Sprintf("services[%s]", s.GetName())
@@ -147,7 +150,7 @@
 	}
 }
 
-func (c *checker) callers(callers []*pb.Caller) {
+func (c *validator) callers(callers []*pb.Caller) {
 	names := make(map[string]string)
 	tokens := make(map[string]string)
 	for _, cl := range callers {
@@ -163,7 +166,9 @@
 	}
 }
 
-func (c *checker) token(path, digest string, seen map[string]string) {
+// token reports a fault if digest is not a SHA-256 in hex or belongs to another
+// caller.
+func (c *validator) token(path, digest string, seen map[string]string) {
 	raw, err := hex.DecodeString(digest)
 	if err != nil || len(raw) != 32 {
 		c.add(path+".tokenSha256", "it is not a SHA-256 digest in hex", "run: printf %s TOKEN | sha256sum")
@@ -176,13 +181,13 @@
 	seen[digest] = path
 }
 
-func (c *checker) weights(w *pb.MeasureWeights) {
+func (c *validator) weights(w *pb.MeasureWeights) {
 	if w.GetColdStartSecond() < 0 || w.GetIdleHour() < 0 {
 		c.add("weights", "a weight is negative", "set both to 0 or more")
 	}
 }
 
-func (c *checker) objectives(objectives []*pb.Objective) {
+func (c *validator) objectives(objectives []*pb.Objective) {
 	seen := make(map[string]string)
 	for _, o := range objectives {
 		path := fmt.Sprintf("objectives[%s]", o.GetName())
--- a/core/catalog/doc.go
+++ b/core/catalog/doc.go
@@ -1,13 +1,14 @@
-// Package catalog checks and indexes the configuration that operators publish.
+// Package catalog validates, indexes and compares the configuration that operators
+// publish.
 //
-// The problem: a configuration is accepted or refused whole, everywhere, by
-// every node alike, and an operator who is refused must learn every fault at
-// once. The model: [Check] collects faults without stopping at the first, each
-// with the path of the item, the problem and the remedy. [New] indexes a
-// checked configuration by unit, where a unit is a base model or an adapter:
-// callers name both alike, and both are loaded, placed and unloaded alike.
-// [Diff] and [Merge] turn two configurations into a change and back, so that
-// the log carries only the items that differ.
+// A configuration is accepted or rejected as a whole and by every node alike, and
+// an operator whose configuration is rejected learns all its faults at once.
+// [Check] therefore collects every fault, each with the path of the item, the
+// problem and the remedy. [New] indexes a valid configuration by unit. A unit is a
+// base model or an adapter: callers name both in the same way, and both are loaded,
+// placed and unloaded in the same way. [Diff] returns the difference of two
+// configurations, and [Merge] applies it, so that the log carries only the items
+// that differ.
 //
-// Everything here is pure: no clock, no I/O, no goroutines.
+// The package reads no clock, does no I/O and starts no goroutines.
 package catalog
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -1,18 +1,20 @@
-// Package membership judges which nodes are alive.
+// Package membership is a failure detector: it decides which nodes of the fleet
+// count as alive, and arranges which of them probe each other and forward log
+// records. The controller (internal/control) runs the probes and calls it.
 //
-// The problem: the platform's list lags, a paused node looks dead and then is
-// not, a node cut off from one peer may be well connected to the others, and
-// what a node spends on all this must not grow with the fleet. The model: every
-// node probes a few others, its neighbours ([Neighbours]), directly. Of all
-// others it believes the list, until a neighbour of theirs reports silence.
-// Only news travels, riding on the answers to probes: that a node is silent,
-// that it was heard from though somebody reported silence, and that it is a new
-// incarnation. Evidence of life always outweighs a report of silence that is
-// not younger by [Silence], so one bad link or one lost probe kills nobody, and
-// a node is held for dead when nobody hears from it.
+// The platform's instance list lags, a paused node looks dead and resumes, a node
+// that is unreachable for one peer may be reachable for the others, and the cost
+// per node must not grow with the fleet. Every node therefore probes only a few
+// others, its neighbours ([Neighbours]). It trusts the instance list for all other
+// nodes until a node that watches them reports them silent. The answers to probes
+// carry only news: that a node is silent, that it was alive although it was
+// reported silent, and that a node has a new incarnation. Evidence that a node was
+// alive outweighs every report of silence while it is younger than
+// [SilenceTimeout], so one bad link or one lost probe makes no node count as dead;
+// a node counts as dead if no node has evidence that it is alive.
 //
-// No promise rests on this judgement: homes only save work, and an executor
-// that was held for dead by mistake is fenced off.
+// Correctness does not depend on these decisions: a home node only saves work, and
+// an executor that wrongly counted as dead is fenced.
 package membership
 
 import (
@@ -22,50 +24,57 @@
 	"olivetiller/core/ledger"
 )
 
-// Times of the judgement.
+// Timeouts of the failure detector.
 const (
-	// Silence is how long a node may give no sign of life. Probes come every
-	// second to a watched node, or in a small fleet every two seconds each way.
-	Silence = 5 * time.Second
-	// newsLife is how long a report of silence holds unless renewed.
-	newsLife = 7 * time.Second
-	// confirm is how long a report of silence stands before it is believed, so
-	// that whoever heard from the node can say so first.
-	confirm = 3 * time.Second
-	// freshLife is how long a new incarnation is news.
-	freshLife = 10 * time.Second
+	// SilenceTimeout is how long a node counts as alive after the latest evidence. A
+	// watched node is probed every second; in a small fleet, each pair of nodes
+	// exchanges a probe every two seconds in each direction.
+	SilenceTimeout = 5 * time.Second
+	// silenceReportTTL is how long a report of silence is valid unless it is renewed.
+	silenceReportTTL = 7 * time.Second
+	// suspicionDelay is the time between the first report of silence and its effect,
+	// in which nodes with evidence that the member is alive can report that.
+	suspicionDelay = 3 * time.Second
+	// newIncarnationTTL is how long a new incarnation is included in the news.
+	newIncarnationTTL = 10 * time.Second
 )
 
-// Member is one node.
+// Member is what a node knows of another node.
 type Member struct {
 	ledger.NodeRef
-	// Address is where its peers reach it.
+	// Address is the address at which peers reach the node.
 	Address string
-	Hall    string
-	// Listed is true while the platform's list shows it.
+	// Hall is the node's data hall.
+	Hall string
+	// Listed is true while the platform's instance list contains the node.
 	Listed bool
-	// Leaving nodes take no new work and no home.
+	// Leaving is true if the node takes no new work and is no home.
 	Leaving bool
-	// Direct is when this node last heard from it itself.
-	Direct time.Time
-	// Heard is the latest evidence of life, direct or not.
-	Heard time.Time
-	// Silent is when somebody, perhaps this node, last reported its silence.
-	Silent time.Time
-	// suspected is when the reports of silence in force began.
-	suspected time.Time
-	// Probed is since when this node probes it; zero if it does not.
-	Probed time.Time
-	// since is when the incarnation was first heard of.
-	since time.Time
+	// LastDirect is when this node last got evidence from the member itself that it
+	// is alive.
+	LastDirect time.Time
+	// LastAlive is the time of the latest evidence that the member is alive, direct
+	// or from the news.
+	LastAlive time.Time
+	// ReportedSilent is when a node, possibly this one, last reported the member
+	// silent.
+	ReportedSilent time.Time
+	// suspectedSince is the start of the uninterrupted series of valid reports of
+	// silence.
+	suspectedSince time.Time
+	// ProbedSince is when this node began to watch the member; zero if it does not.
+	ProbedSince time.Time
+	// incarnationSince is when the current incarnation was first observed.
+	incarnationSince time.Time
 }
 
-// News is one item that travels between nodes.
+// News is an item of membership news that nodes exchange.
 type News struct {
 	ledger.NodeRef
-	// Age is how old the evidence is.
+	// Age is the age of the report or evidence.
 	Age time.Duration
-	// Silent is true of a report of silence, false of a sign of life.
+	// Silent is true for a report that the node is silent, false for evidence that
+	// it is alive.
 	Silent bool
 }
 
@@ -75,13 +84,14 @@
 	members map[string]*Member
 }
 
-// NewTable returns a table that knows only the node itself.
+// NewTable returns a table without members for the node self.
 func NewTable(self ledger.NodeRef) *Table {
 	return &Table{Self: self, members: make(map[string]*Member)}
 }
 
-// Listed takes in a list of nodes; those it lacks are no longer listed.
-func (t *Table) Listed(nodes []Member) {
+// UpdateListed updates the members from the instance list. Members that it lacks
+// are no longer listed, but kept.
+func (t *Table) UpdateListed(nodes []Member) {
 	seen := make(map[string]bool, len(nodes))
 	for _, n := range nodes {
 		if n.Node == t.Self.Node {
@@ -99,121 +109,126 @@
 	}
 }
 
-// Probing notes which members this node probes from now on.
-func (t *Table) Probing(names []string, now time.Time) {
+// SetProbed sets the members that this node watches from now on.
+func (t *Table) SetProbed(names []string, now time.Time) {
 	probed := make(map[string]bool, len(names))
 	for _, name := range names {
 		probed[name] = true
-		if m := t.members[name]; m != nil && m.Probed.IsZero() {
-			m.Probed = now
+		if m := t.members[name]; m != nil && m.ProbedSince.IsZero() {
+			m.ProbedSince = now
 		}
 	}
 	for name, m := range t.members {
 		if !probed[name] {
-			m.Probed = time.Time{}
+			m.ProbedSince = time.Time{}
 		}
 	}
 }
 
-// Heard notes direct evidence of an incarnation.
-func (t *Table) Heard(ref ledger.NodeRef, now time.Time) {
+// ObserveAlive records direct evidence that an incarnation is alive. Evidence of a
+// superseded incarnation is ignored.
+func (t *Table) ObserveAlive(ref ledger.NodeRef, now time.Time) {
 	if ref.Node == t.Self.Node {
 		return
 	}
 	m := t.member(ref.Node)
-	if m.adopt(ref.Incarnation, now) {
-		m.Direct = now
-		m.Heard = now
+	if m.observeIncarnation(ref.Incarnation, now) {
+		m.LastDirect = now
+		m.LastAlive = now
 	}
 }
 
-// Seen notes that an incarnation exists, without a sign that it still lives.
-func (t *Table) Seen(ref ledger.NodeRef, now time.Time) {
+// ObserveIncarnation records that an incarnation exists, without evidence that it
+// is still alive.
+func (t *Table) ObserveIncarnation(ref ledger.NodeRef, now time.Time) {
 	if m := t.members[ref.Node]; m != nil {
-		m.adopt(ref.Incarnation, now)
+		m.observeIncarnation(ref.Incarnation, now)
 	}
 }
 
-// Take takes a peer's news in.
-func (t *Table) Take(n News, now time.Time) {
+// Merge applies an item of news from a peer. News of unknown nodes and of
+// superseded incarnations are ignored.
+func (t *Table) Merge(n News, now time.Time) {
 	m := t.members[n.Node]
-	if m == nil || !m.adopt(n.Incarnation, now) {
+	if m == nil || !m.observeIncarnation(n.Incarnation, now) {
 		return
 	}
 	at := now.Add(-n.Age)
 	if n.Silent {
-		m.suspect(at, now)
+		m.reportSilence(at, now)
 	}
-	if !n.Silent && at.After(m.Heard) {
-		m.Heard = at
+	if !n.Silent && at.After(m.LastAlive) {
+		m.LastAlive = at
 	}
 }
 
-// News returns what this node has to tell: about members whose silence is
-// reported, and about new incarnations. In a quiet fleet it is empty.
+// News returns the news to send to peers, sorted by node: about members that are
+// reported silent and about new incarnations. Usually there is none.
 func (t *Table) News(now time.Time) []News {
 	var out []News
 	for _, m := range t.members {
 		if m.overdue(now) {
-			m.suspect(now, now)
+			m.reportSilence(now, now)
 		}
-		suspected := now.Sub(m.Silent) < newsLife
+		suspected := now.Sub(m.ReportedSilent) < silenceReportTTL
 		if suspected {
-			out = append(out, News{NodeRef: m.NodeRef, Age: now.Sub(m.Silent), Silent: true})
+			out = append(out, News{NodeRef: m.NodeRef, Age: now.Sub(m.ReportedSilent), Silent: true})
 		}
-		fresh := now.Sub(m.since) < freshLife
-		if (suspected || fresh) && now.Sub(m.Heard) < Silence {
-			out = append(out, News{NodeRef: m.NodeRef, Age: now.Sub(m.Heard)})
+		fresh := now.Sub(m.incarnationSince) < newIncarnationTTL
+		if (suspected || fresh) && now.Sub(m.LastAlive) < SilenceTimeout {
+			out = append(out, News{NodeRef: m.NodeRef, Age: now.Sub(m.LastAlive)})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Node < out[j].Node })
 	return out
 }
 
-// suspect notes a report of silence made at a time.
-func (m *Member) suspect(at, now time.Time) {
-	if now.Sub(m.Silent) >= newsLife {
-		m.suspected = now
+// reportSilence records a report of silence that was made at a time.
+func (m *Member) reportSilence(at, now time.Time) {
+	if now.Sub(m.ReportedSilent) >= silenceReportTTL {
+		m.suspectedSince = now
 	}
-	if at.After(m.Silent) {
-		m.Silent = at
+	if at.After(m.ReportedSilent) {
+		m.ReportedSilent = at
 	}
 }
 
-// overdue reports whether this node probes the member and hears nothing.
+// overdue reports whether this node has watched the member for SilenceTimeout or
+// longer without direct evidence that it is alive.
 func (m *Member) overdue(now time.Time) bool {
-	return !m.Probed.IsZero() && now.Sub(m.Probed) >= Silence && now.Sub(m.Direct) >= Silence
+	return !m.ProbedSince.IsZero() && now.Sub(m.ProbedSince) >= SilenceTimeout && now.Sub(m.LastDirect) >= SilenceTimeout
 }
 
-// alive judges one member.
+// alive reports whether the member counts as alive.
 func (m *Member) alive(now time.Time) bool {
 	switch {
-	case now.Sub(m.Heard) < Silence:
+	case now.Sub(m.LastAlive) < SilenceTimeout:
 		return true
-	case !m.Probed.IsZero():
-		// A neighbour must have been heard.
+	case !m.ProbedSince.IsZero():
+		// This node watches the member and should have evidence itself.
 		return false
 	}
-	return m.Listed && (now.Sub(m.Silent) >= newsLife || now.Sub(m.suspected) < confirm)
+	return m.Listed && (now.Sub(m.ReportedSilent) >= silenceReportTTL || now.Sub(m.suspectedSince) < suspicionDelay)
 }
 
-// SetLeaving notes that a node takes no new work.
+// SetLeaving records that the current incarnation of a node is leaving.
 func (t *Table) SetLeaving(node string) {
 	if m := t.members[node]; m != nil {
 		m.Leaving = true
 	}
 }
 
-// adopt moves to a newer incarnation; it reports false for an older one.
-func (m *Member) adopt(incarnation uint64, now time.Time) bool {
+// observeIncarnation resets the member if the incarnation is newer than the known
+// one. It returns false if the incarnation is older.
+func (m *Member) observeIncarnation(incarnation uint64, now time.Time) bool {
 	if incarnation < m.Incarnation {
 		return false
 	}
 	if incarnation > m.Incarnation {
 		m.Incarnation = incarnation
 		m.Leaving = false
-		m.Heard, m.Direct, m.Silent = time.Time{}, time.Time{}, time.Time{}
-		m.since = now
+		m.LastAlive, m.LastDirect, m.ReportedSilent = time.Time{}, time.Time{}, time.Time{}
+		m.incarnationSince = now
 	}
 	return true
 }
@@ -227,7 +242,8 @@
 	return m
 }
 
-// Alive reports whether an incarnation is held to be alive.
+// Alive reports whether a node incarnation counts as alive; this node's own always
+// does, a superseded one never.
 func (t *Table) Alive(ref ledger.NodeRef, now time.Time) bool {
 	if ref == t.Self {
 		return true
@@ -236,8 +252,8 @@
 	return m != nil && m.Incarnation <= ref.Incarnation && m.alive(now)
 }
 
-// Live returns the names of the nodes that share the work, this one included
-// unless it is leaving, in order.
+// Live returns the sorted names of the nodes that are alive and not leaving. This
+// node is included unless selfLeaving is set.
 func (t *Table) Live(now time.Time, selfLeaving bool) []string {
 	var out []string
 	if !selfLeaving {
@@ -252,11 +268,12 @@
 	return out
 }
 
-// Peers returns the members that may be reached, in order of name.
+// Peers returns the members to which requests can be sent, sorted by name: those
+// with an address that are listed or alive.
 func (t *Table) Peers(now time.Time) []Member {
 	var out []Member
 	for _, m := range t.members {
-		if m.Address != "" && (m.Listed || now.Sub(m.Heard) < Silence) {
+		if m.Address != "" && (m.Listed || now.Sub(m.LastAlive) < SilenceTimeout) {
 			out = append(out, *m)
 		}
 	}
@@ -264,7 +281,7 @@
 	return out
 }
 
-// Member returns what is known of a node.
+// Member returns the member with the given name, and false if there is none.
 func (t *Table) Member(name string) (Member, bool) {
 	m := t.members[name]
 	if m == nil {
@@ -273,10 +290,11 @@
 	return *m, true
 }
 
-// Forget drops members that are neither listed nor heard of.
-func (t *Table) Forget(now time.Time) {
+// DeleteStale deletes members that are not listed and without evidence that they
+// were alive in the last ten SilenceTimeouts.
+func (t *Table) DeleteStale(now time.Time) {
 	for name, m := range t.members {
-		if !m.Listed && now.Sub(m.Heard) > 10*Silence {
+		if !m.Listed && now.Sub(m.LastAlive) > 10*SilenceTimeout {
 			delete(t.members, name)
 		}
 	}
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -11,17 +11,17 @@
 	"olivetiller/core/ledger"
 )
 
-// cluster is a fleet of tables that exchange probes in virtual time.
-type cluster struct {
+// testFleet is a set of tables that exchange probes in virtual time.
+type testFleet struct {
 	tables map[string]*Table
 	names  []string
-	// cut reports whether a probe from one to the other is lost.
+	// cut reports whether a message from one node to another is lost.
 	cut func(from, to string) bool
 	now time.Time
 }
 
-func newCluster(n int) *cluster {
-	c := &cluster{tables: make(map[string]*Table), now: time.Unix(1000, 0), cut: func(string, string) bool { return false }}
+func newTestFleet(n int) *testFleet {
+	c := &testFleet{tables: make(map[string]*Table), now: time.Unix(1000, 0), cut: func(string, string) bool { return false }}
 	var list []Member
 	for i := range n {
 		name := fmt.Sprintf("n%03d", i)
@@ -30,44 +30,46 @@
 	}
 	for _, name := range c.names {
 		c.tables[name] = NewTable(ledger.NodeRef{Node: name, Incarnation: 1})
-		c.tables[name].Listed(list)
+		c.tables[name].UpdateListed(list)
 	}
 	return c
 }
 
-// rounds runs probe rounds a second apart.
-func (c *cluster) rounds(from, to int) {
+// rounds runs the probe rounds from up to, but without, to, one per second.
+func (c *testFleet) rounds(from, to int) {
 	for r := from; r < to; r++ {
 		c.now = c.now.Add(time.Second)
 		for _, name := range c.names {
 			t := c.tables[name]
-			probe, watched := Round(name, t.Peers(c.now), r)
-			t.Probing(watched, c.now)
+			probe, watched := ProbeRound(name, t.Peers(c.now), r)
+			t.SetProbed(watched, c.now)
 			for _, m := range probe {
 				if c.cut(name, m.Node) || c.cut(m.Node, name) {
 					continue
 				}
 				other := c.tables[m.Node]
-				other.Heard(t.Self, c.now)
-				t.Heard(other.Self, c.now)
+				other.ObserveAlive(t.Self, c.now)
+				t.ObserveAlive(other.Self, c.now)
 				for _, n := range t.News(c.now) {
-					other.Take(n, c.now)
+					other.Merge(n, c.now)
 				}
 				for _, n := range other.News(c.now) {
-					t.Take(n, c.now)
+					t.Merge(n, c.now)
 				}
 			}
 		}
 	}
 }
 
-// TestJudgement breaks links and expects who holds whom for alive.
-func TestJudgement(t *testing.T) {
+// TestAliveUnderBrokenLinks loses all probes on some links of a node. If no node
+// can reach it, every other node must count it as dead; if only one cannot, even
+// its watcher, every other node must count it as alive.
+func TestAliveUnderBrokenLinks(t *testing.T) {
 	tests := []struct {
 		name  string
 		nodes int
 		cut   func(from, to string) bool
-		// alive is whether the others hold n001 for alive.
+		// alive is whether the other nodes must count n001 as alive.
 		alive bool
 	}{
 		{"all well, 7", 7, func(string, string) bool { return false }, true},
@@ -79,7 +81,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newCluster(tc.nodes)
+			c := newTestFleet(tc.nodes)
 			c.rounds(0, 15)
 			c.cut = tc.cut
 			c.rounds(15, 40)
@@ -90,16 +92,17 @@
 				}
 			}
 			if diff := cmp.Diff([]string(nil), got); diff != "" {
-				t.Errorf("nodes of another opinion (-want +got):\n%s", diff)
+				t.Errorf("nodes with the wrong result for n001 (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestNoFlappingUnderLoss loses one probe in twenty for ten minutes.
-func TestNoFlappingUnderLoss(t *testing.T) {
+// TestNoFalseSuspicionUnderProbeLoss loses one in twenty messages at random for ten
+// minutes. No node may count a live one as dead in any round.
+func TestNoFalseSuspicionUnderProbeLoss(t *testing.T) {
 	for _, n := range []int{7, 60} {
-		c := newCluster(n)
+		c := newTestFleet(n)
 		c.rounds(0, 15)
 		rng := rand.New(rand.NewPCG(1, 2))
 		c.cut = func(string, string) bool { return rng.Float64() < 0.05 }
@@ -111,13 +114,13 @@
 			}
 		}
 		if flaps > 0 {
-			t.Errorf("%d nodes: %d wrong judgements in 600 rounds", n, flaps)
+			t.Errorf("%d nodes: live nodes counted as dead %d times in 600 rounds", n, flaps)
 		}
 	}
 }
 
-// TestFeedReachesAll follows the feed tree of a large fleet: every node that
-// does not read the log itself is fed by exactly one that does.
+// TestFeedReachesAll computes the feeds of all nodes of a large fleet. Every node
+// must either read the log itself or be a follower of exactly one that does.
 func TestFeedReachesAll(t *testing.T) {
 	var all []Member
 	for i := range 420 {
@@ -127,17 +130,17 @@
 	for i, m := range all {
 		peers := append(append([]Member(nil), all[:i]...), all[i+1:]...)
 		f := FeedOf(m.Node, m.Hall, peers)
-		if f.Tails {
+		if f.TailsLog {
 			tails++
 			fed[m.Node]++
 		}
-		for _, to := range f.Fed {
+		for _, to := range f.Followers {
 			fed[to.Node]++
 		}
 	}
 	for _, m := range all {
 		if fed[m.Node] != 1 {
-			t.Errorf("%s is fed %d times", m.Node, fed[m.Node])
+			t.Errorf("%s receives records from %d sources, want 1", m.Node, fed[m.Node])
 		}
 	}
 	if tails != 30 {
--- a/core/membership/topology.go
+++ b/core/membership/topology.go
@@ -2,13 +2,15 @@
 
 import "olivetiller/core/rendezvous"
 
-// SmallFleet is the number of peers up to which every node talks to every other.
+// SmallFleet is the number of peers up to which every node probes all others and
+// reads the log itself.
 const SmallFleet = 8
 
-// Neighbours returns the peers that a node probes: all of a few, and of many
-// those at distances 1, 2, 4, ... on the ring of names. Probes grow with the
-// logarithm of the fleet, every node is probed by as many others, and news
-// reaches all in at most as many steps. Peers must be in order of name.
+// Neighbours returns the peers that a node probes. With up to SmallFleet peers these
+// are all; otherwise those at distances 1, 2, 4, ... on the ring of sorted names.
+// The number of neighbours grows with the logarithm of the fleet; every node is
+// probed by as many others as it probes, and news reaches all nodes in at most as
+// many hops. peers must be sorted by name.
 func Neighbours(self string, peers []Member) []Member {
 	if len(peers) <= SmallFleet {
 		return peers
@@ -24,29 +26,30 @@
 	return out
 }
 
-// probesPerRound is how many members a node probes in a round. Being probed is
-// evidence too, so a node exchanges signs of life with twice as many.
+// probesPerRound is the number of members that a node probes in a round. A received
+// probe is evidence that its sender is alive, so a node gets evidence of twice as
+// many members.
 const probesPerRound = 3
 
-// Round returns the members to probe in a round, and of those the ones this node
-// watches: it must hear from them, and reports their silence. In a small fleet
-// it takes turns and watches all. In a large one it probes its next on the ring,
-// which it alone watches beside that one's other neighbour, and takes turns with
-// the others, over whom news travels.
-func Round(self string, peers []Member, round int) (probe []Member, watched []string) {
+// ProbeRound returns the members to probe in a round and the names of those that
+// this node watches, which it reports silent if it gets no answer. In a small fleet
+// a node watches all peers and probes them in rotation. In a large fleet it probes
+// and watches the next node on the ring in every round, and probes its other
+// neighbours in rotation, to exchange news with them.
+func ProbeRound(self string, peers []Member, round int) (probe []Member, watched []string) {
 	near := Neighbours(self, peers)
 	if len(peers) <= SmallFleet {
 		for _, m := range near {
 			watched = append(watched, m.Node)
 		}
-		return turn(near, round, probesPerRound), watched
+		return roundRobin(near, round, probesPerRound), watched
 	}
 	fixed := near[:1]
-	return append(append(probe, fixed...), turn(near[1:], round, probesPerRound-1)...), []string{fixed[0].Node}
+	return append(append(probe, fixed...), roundRobin(near[1:], round, probesPerRound-1)...), []string{fixed[0].Node}
 }
 
-// turn returns the n members whose turn it is.
-func turn(members []Member, round, n int) []Member {
+// roundRobin returns the n members to probe in a round, in rotation.
+func roundRobin(members []Member, round, n int) []Member {
 	if len(members) <= n {
 		return members
 	}
@@ -57,25 +60,25 @@
 	return out
 }
 
-// tailersPerHall is how many nodes of a data hall read the log themselves in a
-// large fleet: two, so that one may go without a gap.
+// tailersPerHall is the number of nodes per data hall that read the log themselves
+// in a large fleet; two, so that one can fail without interrupting the feed.
 const tailersPerHall = 2
 
-// Feed says how the records of the log reach a node.
+// Feed is a node's part in the distribution of log records.
 type Feed struct {
-	// Tails is true for a node that reads the log itself.
-	Tails bool
-	// Feeder is the node that passes records on to a node that does not.
+	// TailsLog is true if the node reads the log itself.
+	TailsLog bool
+	// Feeder is the node that forwards records to this node; empty if TailsLog is set.
 	Feeder string
-	// Fed are the nodes that this node passes records on to.
-	Fed []Member
+	// Followers are the nodes to which this node forwards records.
+	Followers []Member
 }
 
-// FeedOf returns the feed of a node in a data hall, given the live peers. In a
-// small fleet every node tails and passes its own appends to all.
+// FeedOf returns the feed of the node self in a data hall, given the live peers. In a
+// small fleet every node reads the log and forwards its own appends to all others.
 func FeedOf(self, hall string, peers []Member) Feed {
 	if len(peers) <= SmallFleet {
-		return Feed{Tails: true, Fed: peers}
+		return Feed{TailsLog: true, Followers: peers}
 	}
 	names := []string{self}
 	for _, p := range peers {
@@ -94,10 +97,10 @@
 	if !isTailer[self] {
 		return Feed{Feeder: rendezvous.Home(self, tailers)}
 	}
-	f := Feed{Tails: true}
+	f := Feed{TailsLog: true}
 	for _, p := range peers {
 		if p.Hall == hall && !isTailer[p.Node] && rendezvous.Home(p.Node, tailers) == self {
-			f.Fed = append(f.Fed, p)
+			f.Followers = append(f.Followers, p)
 		}
 	}
 	return f
--- a/internal/control/fold.go
+++ b/internal/control/fold.go
@@ -127,7 +127,7 @@
 		c.Metrics.Rejected.Add(o.Reason.Name(), 1)
 	}
 	c.planner.Observe(o, now)
-	c.members.Seen(ledger.NodeRef{Node: o.Record.GetNode(), Incarnation: o.Record.GetIncarnation()}, now)
+	c.members.ObserveIncarnation(ledger.NodeRef{Node: o.Record.GetNode(), Incarnation: o.Record.GetIncarnation()}, now)
 	c.markChanged(o)
 	switch b := o.Record.GetBody().(type) {
 	case *pb.Record_Load:
--- a/internal/control/loops.go
+++ b/internal/control/loops.go
@@ -72,8 +72,8 @@
 			engines[in.ID] = in
 		}
 	}
-	c.members.Listed(nodes)
-	c.members.Forget(now)
+	c.members.UpdateListed(nodes)
+	c.members.DeleteStale(now)
 	c.updateFeed(now)
 	c.markLeaving(leaving, now)
 	if c.updateEngines(engines) || c.updateServices() {
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -42,7 +42,7 @@
 // peerContact is direct evidence that a node incarnation is alive.
 type peerContact struct{ ref ledger.NodeRef }
 
-func (m peerContact) handle(c *Controller) { c.members.Heard(m.ref, c.Clock.Now()) }
+func (m peerContact) handle(c *Controller) { c.members.ObserveAlive(m.ref, c.Clock.Now()) }
 
 // probeLoop probes the neighbours every probeInterval. Their answers prove that
 // they are alive and tell their next offset.
@@ -68,13 +68,13 @@
 // nextProbes returns the next round of probes.
 func (c *Controller) nextProbes() probeTargets {
 	now := c.Clock.Now()
-	targets, watched := membership.Round(c.Self.Node, c.members.Peers(now), c.probeRound)
+	targets, watched := membership.ProbeRound(c.Self.Node, c.members.Peers(now), c.probeRound)
 	c.probeRound++
 	// The feeder is probed too: its answer tells whether it has newer entries.
 	if f, ok := c.members.Member(c.feed.Feeder); ok && !probed(targets, f.Node) {
 		targets = append(targets, f)
 	}
-	c.members.Probing(watched, now)
+	c.members.SetProbed(watched, now)
 	return probeTargets{targets: targets, news: c.newsToProto(now)}
 }
 
@@ -98,7 +98,7 @@
 
 func (c *Controller) mergeNews(list []*pb.News, now time.Time) {
 	for _, n := range list {
-		c.members.Take(membership.News{
+		c.members.Merge(membership.News{
 			NodeRef: ledger.NodeRef{Node: n.GetNode(), Incarnation: n.GetIncarnation()},
 			Age:     time.Duration(n.GetAgeMs()) * time.Millisecond, Silent: n.GetSilent(),
 		}, now)
@@ -171,8 +171,8 @@
 type forwardEntries struct{ list []*pb.LogEntry }
 
 func (m forwardEntries) handle(c *Controller) {
-	if len(m.list) > 0 && len(c.feed.Fed) > 0 {
-		c.sendToAll(c.feed.Fed, &pb.PeerRequest{Body: &pb.PeerRequest_LogPush{LogPush: &pb.LogPush{Entries: m.list}}})
+	if len(m.list) > 0 && len(c.feed.Followers) > 0 {
+		c.sendToAll(c.feed.Followers, &pb.PeerRequest{Body: &pb.PeerRequest_LogPush{LogPush: &pb.LogPush{Entries: m.list}}})
 	}
 }
 
@@ -187,7 +187,7 @@
 		}
 	}
 	c.feed = membership.FeedOf(c.Self.Node, c.Hall, kept)
-	c.tailsLog.Store(c.feed.Tails)
+	c.tailsLog.Store(c.feed.TailsLog)
 }
 
 // feederTimeout is the time since the feeder's last answer after which a node reads
