--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -35,7 +35,7 @@
 	return c
 }
 
-// rounds runs the probe rounds from up to, but without, to, one per second.
+// rounds runs the probe rounds in [from, to), one per second.
 func (c *testFleet) rounds(from, to int) {
 	for r := from; r < to; r++ {
 		c.now = c.now.Add(time.Second)
--- a/internal/fleet/failure_test.go
+++ b/internal/fleet/failure_test.go
@@ -16,8 +16,10 @@
 	"olivetiller/standin/site"
 )
 
-// running starts a deployment of a few nodes with its configuration in force.
-func running(ctx context.Context, t *testing.T, nodes int, edit func(*site.Shape)) *fleet.Fleet {
+// startFleet starts nodes n0, n1, ... and a site with four engines, publishes the
+// site's configuration, and waits until it is in force and all engines are
+// registered.
+func startFleet(ctx context.Context, t *testing.T, nodes int, edit func(*site.Shape)) *fleet.Fleet {
 	t.Helper()
 	shape := site.Krautwerk()
 	shape.Engines, shape.OtherEngines, shape.ListLag = 4, 0, 100*time.Millisecond
@@ -34,7 +36,7 @@
 	}
 	t.Cleanup(f.Close)
 	f.SnapshotEvery = 5
-	start(ctx, t, f, "n", nodes)
+	startNodes(ctx, t, f, "n", nodes)
 	if _, err := fleet.Publish(ctx, f.Node("n0"), shape.Config()); err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +45,7 @@
 	return f
 }
 
-func start(ctx context.Context, t *testing.T, f *fleet.Fleet, prefix string, nodes int) {
+func startNodes(ctx context.Context, t *testing.T, f *fleet.Fleet, prefix string, nodes int) {
 	t.Helper()
 	for i := range nodes {
 		if _, err := f.StartNode(fmt.Sprint(prefix, i)); err != nil {
@@ -66,8 +68,9 @@
 	return ctx
 }
 
-// askModel sends one stream to a node and requires its whole answer.
-func askModel(ctx context.Context, t *testing.T, f *fleet.Fleet, node string, model, tokens int) {
+// requireCompletion requests a streamed completion of a model through a node and
+// requires the complete answer.
+func requireCompletion(ctx context.Context, t *testing.T, f *fleet.Fleet, node string, model, tokens int) {
 	t.Helper()
 	r := client.New("curator").Complete(ctx, f.Node(node).CallerAddress(), client.Ask{
 		Model: site.ModelName(model), Prompt: fmt.Sprint("p", model), Tokens: tokens, Stream: true, Timeout: 40 * time.Second,
@@ -77,17 +80,18 @@
 	}
 }
 
-// TestStreamMovesWhenItsEngineDies restarts the engine in the middle of a
-// stream; the caller gets every token once, in order, from another replica.
+// TestStreamMovesWhenItsEngineDies restarts the engine in the middle of a stream.
+// The caller must get every token once and in order: the stream is resumed on
+// another replica.
 func TestStreamMovesWhenItsEngineDies(t *testing.T) {
 	ctx := testContext(t)
-	f := running(ctx, t, 2, func(s *site.Shape) { s.BetweenTokens = 5 * time.Millisecond })
-	askModel(ctx, t, f, "n0", 1, 3)
+	f := startFleet(ctx, t, 2, func(s *site.Shape) { s.BetweenTokens = 5 * time.Millisecond })
+	requireCompletion(ctx, t, f, "n0", 1, 3)
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		askModel(ctx, t, f, "n0", 1, 150)
+		requireCompletion(ctx, t, f, "n0", 1, 150)
 	}()
 	for f.Node("n0").Caller.Active() == 0 && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
@@ -100,20 +104,21 @@
 	}
 	wg.Wait()
 	if f.Node("n0").Caller.Metrics.Resumed.Value() == 0 {
-		t.Error("the stream was not resumed: the engine died too late for this test")
+		t.Error("the stream was not resumed: it ended before the engine was restarted")
 	}
 }
 
-// TestAllNodesReplacedAtOnce ends every node, trims the log to less than its
-// beginning and starts others: the configuration and the placements are there.
+// TestAllNodesReplacedAtOnce kills every node, trims the start of the log and starts
+// new nodes. They must recover the configuration and the placements from a snapshot
+// and must not load again what is loaded already.
 func TestAllNodesReplacedAtOnce(t *testing.T) {
 	ctx := testContext(t)
-	f := running(ctx, t, 3, nil)
+	f := startFleet(ctx, t, 3, nil)
 	for m := range 4 {
-		askModel(ctx, t, f, fmt.Sprint("n", m%3), m, 3)
+		requireCompletion(ctx, t, f, fmt.Sprint("n", m%3), m, 3)
 	}
 	for f.Site.Log.Appends(control.SnapshotStream) < 2 && ctx.Err() == nil {
-		askModel(ctx, t, f, "n0", 5, 3)
+		requireCompletion(ctx, t, f, "n0", 5, 3)
 		time.Sleep(50 * time.Millisecond)
 	}
 	loads := f.Site.Loads()
@@ -122,22 +127,23 @@
 	}
 	f.Site.Log.SetRetention(len(f.Site.Log.Records(control.ControlStream)) - 2)
 	if first := f.Site.Log.Records(control.ControlStream)[0].Offset; first == 0 {
-		t.Fatal("the log still has its beginning")
+		t.Fatal("the log was not trimmed: it still starts at offset 0")
 	}
-	start(ctx, t, f, "m", 3)
+	startNodes(ctx, t, f, "m", 3)
 	must(t, f.AwaitRevision(ctx, 1))
-	askModel(ctx, t, f, "m0", 3, 3)
+	requireCompletion(ctx, t, f, "m0", 3, 3)
 	if got := f.Site.Loads(); got != loads {
-		t.Errorf("loads = %d, want %d: what was loaded was forgotten", got, loads)
+		t.Errorf("loads = %d, want %d: the new nodes loaded a model again", got, loads)
 	}
 }
 
-// TestLeavingEngineGetsNoNewWork marks an engine leaving; once a node has seen
-// that, no request goes there, and the model is served from elsewhere.
+// TestLeavingEngineGetsNoNewWork marks the engine that serves a model as leaving.
+// Every node must remove it from the model's endpoints, and the next request must
+// be served by another engine. No engine may be ordered to exceed its limits.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	ctx := testContext(t)
-	f := running(ctx, t, 3, nil)
-	askModel(ctx, t, f, "n0", 2, 3)
+	f := startFleet(ctx, t, 3, nil)
+	requireCompletion(ctx, t, f, "n0", 2, 3)
 	name := site.ModelName(2)
 	var left string
 	for _, e := range f.Site.Engines {
@@ -158,20 +164,21 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	askModel(ctx, t, f, "n1", 2, 3)
+	requireCompletion(ctx, t, f, "n1", 2, 3)
 	if v := f.Site.Violations(); len(v) > 0 {
 		t.Errorf("violations: %v", v)
 	}
 }
 
-// TestLogOutage takes the log away: what is loaded serves, a once-only call is
-// refused as not run and did not run, and afterwards it runs once.
+// TestLogOutage makes the log unavailable. Loaded models must still serve. A
+// once-only call must be refused as not run and must not have run; repeated after
+// the outage, it must run exactly once.
 func TestLogOutage(t *testing.T) {
 	ctx := testContext(t)
-	f := running(ctx, t, 2, nil)
-	askModel(ctx, t, f, "n0", 0, 3)
+	f := startFleet(ctx, t, 2, nil)
+	requireCompletion(ctx, t, f, "n0", 0, 3)
 	f.Site.Log.Faults.Change(func(s *fault.Switches) { s.Down = true })
-	askModel(ctx, t, f, "n1", 0, 3)
+	requireCompletion(ctx, t, f, "n1", 0, 3)
 	svc := f.Site.Shape.Services[0]
 	c, key := client.New("clerk"), newKey()
 	r := c.Call(ctx, f.Node("n0").CallerAddress(), svc, "/x", 500*time.Millisecond, key, []byte("b"))
@@ -179,7 +186,7 @@
 		t.Fatalf("during the outage: %+v, want a refusal that says not run", r)
 	}
 	if n := f.Site.Runs(svc, key); n != 0 {
-		t.Fatalf("it ran %d times", n)
+		t.Fatalf("the refused call ran %d times, want 0", n)
 	}
 	f.Site.Log.Faults.Change(func(s *fault.Switches) { s.Down = false })
 	for ctx.Err() == nil {
@@ -189,16 +196,17 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	if n := f.Site.Runs(svc, key); n != 1 {
-		t.Errorf("after the outage it ran %d times, want 1", n)
+		t.Errorf("after the outage the call ran %d times, want 1", n)
 	}
 }
 
-// TestPlannedStopCutsNothing stops a node while it streams and has cold starts
-// and once-only calls in flight.
+// TestPlannedStopCutsNothing stops a node as planned while it serves streams, cold
+// starts and once-only calls. All of them must complete, and every once-only call
+// must run exactly once.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	ctx := testContext(t)
-	f := running(ctx, t, 3, nil)
-	askModel(ctx, t, f, "n2", 0, 3)
+	f := startFleet(ctx, t, 3, nil)
+	requireCompletion(ctx, t, f, "n2", 0, 3)
 	address := f.Node("n2").CallerAddress()
 	svc := f.Site.Shape.Services[0]
 	results := make(chan client.Result, 30)
@@ -220,12 +228,12 @@
 	must(t, f.Stop(ctx, "n2"))
 	for range 30 {
 		if r := <-results; !r.Whole {
-			t.Errorf("cut off: %+v %+v", r, r.Refusal)
+			t.Errorf("a request did not complete: %+v %+v", r, r.Refusal)
 		}
 	}
 	for _, key := range keys {
 		if n := f.Site.Runs(svc, key); n != 1 {
-			t.Errorf("key %s ran %d times", key, n)
+			t.Errorf("the call with key %s ran %d times, want 1", key, n)
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet runs the nodes of a deployment in one process, against the
-// stand-ins, for the demo, the bench and tests. Nodes talk over real sockets on
-// loopback, as separate processes do.
+// Package fleet runs all nodes of a deployment in one process, against the test
+// doubles of the platform, engines and services in package site. The demo, the
+// benchmarks and tests use it. The nodes communicate over TCP on the loopback
+// interface, as separate processes do.
 package fleet
 
 import (
@@ -27,19 +28,21 @@
 	"olivetiller/standin/site"
 )
 
-// OperatorToken is the token of the fleet's admin.
+// OperatorToken is the token of the fleet's only operator, whose role is admin.
 const OperatorToken = "fleet-operator"
 
-// Fleet is the nodes of a deployment and its stand-ins.
+// Fleet holds the running nodes of a deployment and its test doubles. The settings
+// apply to nodes started later.
 type Fleet struct {
 	Site   *site.Site
 	Logger hclog.Logger
-	// BalancerLag is given to each node.
+	// BalancerLag is the setting times.balancerLag of each node.
 	BalancerLag time.Duration
-	// AppendPause and SnapshotEvery are given to each node.
+	// AppendPause and SnapshotEvery are the settings log.appendPause and
+	// log.snapshotEvery of each node.
 	AppendPause   time.Duration
 	SnapshotEvery uint64
-	// Policy makes the policy of a node; nil takes the product's own.
+	// Policy returns the policy of a new node; nil means the default policy.
 	Policy func() plan.Policy
 
 	authority fleetkeys.Pair
@@ -47,7 +50,7 @@
 	nodes     map[string]*entry.Node
 }
 
-// New returns a fleet without nodes.
+// New returns a fleet without nodes and with a new certificate authority.
 func New(s *site.Site, logger hclog.Logger) (*Fleet, error) {
 	authority, err := fleetkeys.NewAuthority(s.Shape.Name, time.Now())
 	if err != nil {
@@ -59,7 +62,8 @@
 	}, nil
 }
 
-// StartNode starts a node and puts it into the instance list.
+// StartNode starts a node and adds it to the instance list. Nodes are assigned to
+// the data halls of the site in rotation.
 func (f *Fleet) StartNode(name string) (*entry.Node, error) {
 	pair, err := fleetkeys.NewNode(f.authority, name, time.Now())
 	if err != nil {
@@ -94,7 +98,8 @@
 	return f.Policy()
 }
 
-// settings returns a node's settings: the defaults and free loopback ports.
+// settings returns the settings of a node: the defaults, free loopback ports and
+// the fleet's operator.
 func (f *Fleet) settings(name, hall string) (entry.Settings, error) {
 	var s entry.Settings
 	ini := fmt.Sprintf(`
@@ -133,7 +138,7 @@
 	return f.nodes[name]
 }
 
-// Nodes returns the running nodes.
+// Nodes returns the running nodes, in no particular order.
 func (f *Fleet) Nodes() []*entry.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,28 +149,30 @@
 	return out
 }
 
-// Kill ends a node as a crash does; the platform's list shows that later.
+// Kill ends a node without a planned stop, as a crash does, and removes it from the
+// instance list, which shows that with its usual lag.
 func (f *Fleet) Kill(name string) {
-	n := f.forget(name)
+	n := f.remove(name)
 	if n != nil {
 		n.Kill()
 		f.Site.List.Remove(name)
 	}
 }
 
-// Stop stops a node as planned.
+// Stop performs the planned stop of a node, waits for it and removes the node from
+// the instance list.
 func (f *Fleet) Stop(ctx context.Context, name string) error {
 	n := f.Node(name)
 	if n == nil {
 		return eris.Errorf("there is no node %s", name)
 	}
 	err := n.Stop(ctx)
-	f.forget(name)
+	f.remove(name)
 	f.Site.List.Remove(name)
 	return err
 }
 
-func (f *Fleet) forget(name string) *entry.Node {
+func (f *Fleet) remove(name string) *entry.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.nodes[name]
@@ -173,7 +180,7 @@
 	return n
 }
 
-// Close ends every node and the stand-ins.
+// Close kills every node and closes the site.
 func (f *Fleet) Close() {
 	for _, n := range f.Nodes() {
 		n.Kill()
@@ -181,19 +188,20 @@
 	f.Site.Close()
 }
 
-// Operator returns the operators' client of a node.
+// Operator returns a client of a node's operator API.
 func Operator(n *entry.Node) olivetillerv1connect.OperatorServiceClient {
 	return olivetillerv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+n.OperatorAddress())
 }
 
-// Authorize adds the admin's token to a call.
+// Authorize returns a request with OperatorToken in its Authorization header.
 func Authorize[T any](msg *T) *connect.Request[T] {
 	req := connect.NewRequest(msg)
 	req.Header().Set("Authorization", "Bearer "+OperatorToken)
 	return req
 }
 
-// Publish publishes a configuration through a node on top of its own revision.
+// Publish publishes a configuration through a node, based on the revision in force
+// at that node, and returns the new revision.
 func Publish(ctx context.Context, n *entry.Node, cfg *pb.Config) (uint64, error) {
 	resp, err := Operator(n).Publish(ctx, Authorize(&pb.PublishRequest{
 		Config: cfg, BaseRevision: n.Control.View().Revision, ChangeId: uuid.NewString(),
@@ -204,7 +212,7 @@
 	return resp.Msg.GetRevision(), nil
 }
 
-// AwaitReady waits until every node is ready.
+// AwaitReady waits until every node has caught up with the log.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	return f.await(ctx, func(n *entry.Node) bool { return n.Control.View().Ready })
 }
@@ -214,7 +222,8 @@
 	return f.await(ctx, func(n *entry.Node) bool { return n.Control.View().Revision >= revision })
 }
 
-// AwaitEngines waits until every engine is registered and every node sees its peers.
+// AwaitEngines waits until every node knows all engines of the site as registered
+// and counts all nodes as alive.
 func (f *Fleet) AwaitEngines(ctx context.Context) error {
 	want := len(f.Site.Engines)
 	nodes := len(f.Nodes())
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -13,9 +13,10 @@
 	"olivetiller/standin/site"
 )
 
-// TestColdRequestCrossesEverything sends one request for a cold model and
-// expects its whole answer: placed by the log, loaded from the weight store,
-// streamed back.
+// TestColdRequestCrossesEverything sends one request for a model that is not loaded
+// and expects the complete answer: the load is decided on the log, the weights come
+// from the weight store, and the answer is streamed back. The model must be loaded
+// exactly once.
 func TestColdRequestCrossesEverything(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -50,5 +51,5 @@
 	}
 }
 
-// newKey returns a request key.
+// newKey returns a new key for a once-only request.
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
--- a/internal/once/doc.go
+++ b/internal/once/doc.go
@@ -1,10 +1,14 @@
-// Package once runs requests that may not be repeated.
+// Package once runs requests that must run at most once, such as the creation of a
+// catalogue entry or of a print job ticket. The caller gives such a request a key.
 //
-// The problem: a catalogue entry or a print job ticket runs at most once, though
-// its caller asks again through another node, though the node that ran it died,
-// and though the log was out. The model: the request's key is claimed on the log
-// and the claim read back before the one dispatch. The run belongs to the claim
-// and not to the caller's connection: it goes on when the caller goes away, and
-// whoever asks again with the same key, at any node, is given the same answer,
-// or is told truthfully what is known.
+// A request must not run twice although the caller repeats the request through another
+// node, the node that ran it crashes, or the log is unavailable. The key is
+// therefore claimed on the log, and the request is sent to its endpoint only after
+// the accepted claim was read back. The run belongs to the claim and not to the
+// caller's connection: it continues if the caller disconnects. Whoever repeats the
+// request with the same key, at any node, gets the same answer, or a refusal that
+// states whether the request ran, did not run or may have run.
+//
+// [Coordinator.Do] is called by the handler of callers' requests (io/caller),
+// [Coordinator.Fetch] by the handler of peers' requests.
 package once
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -14,47 +14,59 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Bounds of once-only runs.
+// Limits and timeouts of once-only requests.
 const (
-	// answerBytes bounds the answers that a node keeps for repeats.
-	answerBytes = 32 << 20
-	// claimTimeout is the longest wait for the log to decide a claim.
+	// maxAnswerBytes bounds the answers that a node keeps for repeated requests.
+	maxAnswerBytes = 32 << 20
+	// claimTimeout bounds the wait for the log to decide a claim.
 	claimTimeout = 5 * time.Second
-	// claimShare is the part, in hundredths, of the time left that a claim may
-	// take: the refusal that it did not run must reach the caller in time.
-	claimShare = 80
-	// runGrace is how long a run may outlast its caller's deadline.
+	// claimPercent is the percentage of the time until the caller's deadline that a
+	// claim may take. The rest is needed for the refusal, which states that the
+	// request did not run, to reach the caller in time.
+	claimPercent = 80
+	// runGrace is how long a run may continue after its caller's deadline.
 	runGrace = time.Minute
 )
 
-// Decider is what claims are made through.
-type Decider interface {
+// Ledger is the access of a coordinator to the log, the decided claims and the
+// peers. The controller of the node implements it.
+type Ledger interface {
+	// Propose appends a record to the log and waits for its outcome. If ctx ends
+	// first, it returns an error and calls late with the outcome if there is one.
 	Propose(ctx context.Context, r *pb.Record, late func(ledger.Outcome)) (ledger.Outcome, error)
+	// Submit appends a record without waiting for its outcome.
 	Submit(r *pb.Record)
+	// Claim returns a claim, or nil if there is none, and whether its owner counts as
+	// alive.
 	Claim(ctx context.Context, id ledger.ClaimID) (claim *ledger.Claim, ownerAlive bool)
+	// FetchAnswer requests the answer to a once-only request from the owner of its
+	// claim; nil if the owner cannot be reached.
 	FetchAnswer(ctx context.Context, owner ledger.NodeRef, f *pb.AnswerFetch) *pb.Answer
 }
 
-// Run sends the request to its endpoint. An error that is a refusal with NotRun
-// means that nothing was sent.
-type Run func(ctx context.Context) (*Answer, error)
+// Exec sends a request to its endpoint and returns the complete answer. An error
+// that is a refusal with NotRun means that nothing was sent.
+type Exec func(ctx context.Context) (*Answer, error)
 
-// Coordinator runs once-only requests. It is safe for concurrent use.
+// Coordinator runs the once-only requests of one node. It is safe for concurrent
+// use.
 type Coordinator struct {
-	clock   clockwork.Clock
-	logger  hclog.Logger
-	decider Decider
-	store   *store
+	clock  clockwork.Clock
+	logger hclog.Logger
+	ledger Ledger
+	store  *runStore
 }
 
-// New returns a coordinator.
-func New(clock clockwork.Clock, logger hclog.Logger, d Decider) *Coordinator {
-	return &Coordinator{clock: clock, logger: logger, decider: d, store: newStore(answerBytes)}
+// New returns a coordinator without runs, which makes its claims through d.
+func New(clock clockwork.Clock, logger hclog.Logger, d Ledger) *Coordinator {
+	return &Coordinator{clock: clock, logger: logger, ledger: d, store: newStore(maxAnswerBytes)}
 }
 
-// Do returns the answer to the request with a key, running it if it is the
-// first with that key anywhere.
-func (c *Coordinator) Do(ctx context.Context, key oncekey.Key, digest [32]byte, deadline time.Time, exec Run) (*Answer, error) {
+// Do returns the answer to the request with a key. It calls exec if no node has
+// claimed the key before, and otherwise returns the answer of the earlier run.
+// digest is the digest of the request: Do refuses a key that came with another
+// request before. Errors are refusals; after deadline, StillRunning.
+func (c *Coordinator) Do(ctx context.Context, key oncekey.Key, digest [32]byte, deadline time.Time, exec Exec) (*Answer, error) {
 	r, isNew := c.store.begin(key.ID, digest)
 	if isNew {
 		go c.claimAndRun(context.WithoutCancel(ctx), r, key, deadline, exec)
@@ -64,8 +76,8 @@
 	return c.await(ctx, r, deadline)
 }
 
-// await waits for a run to end.
-func (c *Coordinator) await(ctx context.Context, r *run, deadline time.Time) (*Answer, error) {
+// await waits until a run ends, the deadline passes or the context ends.
+func (c *Coordinator) await(ctx context.Context, r *onceRun, deadline time.Time) (*Answer, error) {
 	timer := c.clock.NewTimer(deadline.Sub(c.clock.Now()))
 	defer timer.Stop()
 	select {
@@ -80,53 +92,55 @@
 	return nil, refusal.New(refusal.StillRunning, "the request has not ended yet")
 }
 
-// claimAndRun claims the key and runs the request, or finds out who did.
-func (c *Coordinator) claimAndRun(ctx context.Context, r *run, key oncekey.Key, deadline time.Time, exec Run) {
-	wait := min(claimTimeout, deadline.Sub(c.clock.Now())*claimShare/100)
+// claimAndRun claims the key and runs the request. If the key is claimed already, it
+// gets the answer from the owner of the claim.
+func (c *Coordinator) claimAndRun(ctx context.Context, r *onceRun, key oncekey.Key, deadline time.Time, exec Exec) {
+	wait := min(claimTimeout, deadline.Sub(c.clock.Now())*claimPercent/100)
 	claimCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	o, err := c.decider.Propose(claimCtx, claimRecord(key), func(late ledger.Outcome) {
-		// Nobody waits any more and nothing was sent: the key is free again.
+	o, err := c.ledger.Propose(claimCtx, claimRecord(key), func(late ledger.Outcome) {
+		// The claim was accepted after the timeout. Nothing was sent, so the key is
+		// released.
 		if late.OK() {
-			c.decider.Submit(releaseRecord(key.ID))
+			c.ledger.Submit(releaseRecord(key.ID))
 		}
 	})
 	switch {
 	case err != nil:
-		c.refuse(r, refusal.New(refusal.LogUnavailable, "the claim was not decided within %s", wait.Round(time.Millisecond)))
+		c.endRefused(r, refusal.New(refusal.LogUnavailable, "the claim was not decided within %s", wait.Round(time.Millisecond)))
 	case o.OK():
 		c.run(ctx, r, deadline, exec)
 	case o.Reason == ledger.KeyTaken:
-		answer, err := c.elsewhere(ctx, r, o.Claim, deadline)
+		answer, err := c.fetchFromOwner(ctx, r, o.Claim, deadline)
 		c.store.end(r, answer, refusalOf(err), false)
 	case o.Reason == ledger.KeyExpired:
-		c.refuse(r, refusal.New(refusal.KeyExpired, "the key is older than %s", ledger.ClaimWindow))
+		c.endRefused(r, refusal.New(refusal.KeyExpired, "the key is older than %s", ledger.ClaimWindow))
 	default:
-		c.refuse(r, refusal.New(refusal.KeyInvalid, "the claim was rejected: %s", o.Reason))
+		c.endRefused(r, refusal.New(refusal.KeyInvalid, "the claim was rejected: %s", o.Reason))
 	}
 }
 
-func (c *Coordinator) refuse(r *run, e *refusal.Error) { c.store.end(r, nil, e, false) }
+func (c *Coordinator) endRefused(r *onceRun, e *refusal.Error) { c.store.end(r, nil, e, false) }
 
-// run sends the claimed request. The claim is released only when it is certain
-// that nothing was sent.
-func (c *Coordinator) run(ctx context.Context, r *run, deadline time.Time, exec Run) {
+// run sends the claimed request and records the outcome in the claim. It releases
+// the claim only if it is certain that nothing was sent.
+func (c *Coordinator) run(ctx context.Context, r *onceRun, deadline time.Time, exec Exec) {
 	runCtx, cancel := context.WithTimeout(ctx, deadline.Sub(c.clock.Now())+runGrace)
 	defer cancel()
 	answer, err := exec(runCtx)
 	if err == nil {
-		c.decider.Submit(doneRecord(r.id, true, answer.Status))
+		c.ledger.Submit(doneRecord(r.id, true, answer.Status))
 		c.store.end(r, answer, nil, true)
 		return
 	}
 	e := refusalOf(err)
 	if e.NotRun() {
-		c.decider.Submit(releaseRecord(r.id))
+		c.ledger.Submit(releaseRecord(r.id))
 		c.store.end(r, nil, e, false)
 		return
 	}
-	c.logger.Warn("nobody can know whether a once-only request ran", "cause", e.Error())
-	c.decider.Submit(doneRecord(r.id, false, 0))
+	c.logger.Warn("outcome of a once-only request is unknown", "cause", e.Error())
+	c.ledger.Submit(doneRecord(r.id, false, 0))
 	c.store.end(r, nil, refusal.New(refusal.OutcomeUnknown, "%s", e.Detail), true)
 }
 
@@ -137,15 +151,15 @@
 	return refusal.As(err)
 }
 
-// elsewhere returns the answer of the node that holds the claim, or says
-// truthfully what is known.
-func (c *Coordinator) elsewhere(ctx context.Context, r *run, claim *ledger.Claim, deadline time.Time) (*Answer, error) {
+// fetchFromOwner returns the answer from the owner of the claim. If the owner does
+// not answer, it returns a refusal that states what the claim tells about the run.
+func (c *Coordinator) fetchFromOwner(ctx context.Context, r *onceRun, claim *ledger.Claim, deadline time.Time) (*Answer, error) {
 	for {
 		left := deadline.Sub(c.clock.Now())
 		if left <= 0 {
 			return nil, refusal.New(refusal.StillRunning, "another node runs the request")
 		}
-		a := c.decider.FetchAnswer(ctx, claim.Owner, &pb.AnswerFetch{Id: r.id[:], WaitMs: left.Milliseconds(), Digest: r.digest[:]})
+		a := c.ledger.FetchAnswer(ctx, claim.Owner, &pb.AnswerFetch{Id: r.id[:], WaitMs: left.Milliseconds(), Digest: r.digest[:]})
 		switch a.GetState() {
 		case pb.AnswerState_ANSWER_STATE_ANSWERED:
 			return &Answer{Status: int(a.GetStatus()), ContentType: a.GetContentType(), Body: a.GetBody()}, nil
@@ -156,26 +170,28 @@
 		case pb.AnswerState_ANSWER_STATE_RUNNING:
 			return nil, refusal.New(refusal.StillRunning, "another node runs the request")
 		}
-		if err := c.verdict(ctx, r.id, time.UnixMilli(claim.KeyTime)); err != nil {
+		if err := c.claimError(ctx, r.id, time.UnixMilli(claim.KeyTime)); err != nil {
 			return nil, err
 		}
-		// The owner lives but could not be asked; it is asked again.
-		c.clock.Sleep(min(left, askAgain))
+		// The owner is alive but did not answer; it is asked again.
+		c.clock.Sleep(min(left, retryDelay))
 	}
 }
 
-// askAgain is the pause before a silent owner is asked again.
-const askAgain = 200 * time.Millisecond
+// retryDelay is the pause before an owner that did not answer is asked again.
+const retryDelay = 200 * time.Millisecond
 
-// verdict says what the ledger knows of a claim whose owner gave no answer; nil
-// while the owner may still run it.
-func (c *Coordinator) verdict(ctx context.Context, id ledger.ClaimID, keyTime time.Time) error {
-	claim, alive := c.decider.Claim(ctx, id)
+// claimError returns the refusal of a request whose claim's owner did not answer,
+// by the phase of the claim. It returns nil while the owner is alive and may still
+// run the request.
+func (c *Coordinator) claimError(ctx context.Context, id ledger.ClaimID, keyTime time.Time) error {
+	claim, alive := c.ledger.Claim(ctx, id)
 	switch {
 	case claim == nil && c.clock.Now().Sub(keyTime) < ledger.ClaimWindow/2:
 		return refusal.New(refusal.NoEndpoint, "the node that had claimed the key gave it back; nothing was sent")
 	case claim == nil:
-		// A claim this old may have been forgotten instead of given back.
+		// A claim this old may have expired instead of being released, so the request
+		// may have run.
 		return refusal.New(refusal.OutcomeUnknown, "the claim of the key is no longer held")
 	case claim.Phase == ledger.Answered:
 		return refusal.New(refusal.AlreadyRan, "it was answered with status %d", claim.Status)
@@ -187,7 +203,8 @@
 	return nil
 }
 
-// Fetch answers a peer that asks for the answer to a request claimed here.
+// Fetch returns to a peer the answer to a request that this node claimed, or the
+// state of its run. It waits for the run for up to the time that the peer sets.
 func (c *Coordinator) Fetch(ctx context.Context, f *pb.AnswerFetch) *pb.Answer {
 	var id ledger.ClaimID
 	copy(id[:], f.GetId())
--- a/internal/once/store.go
+++ b/internal/once/store.go
@@ -8,60 +8,66 @@
 	"olivetiller/core/refusal"
 )
 
-// Answer is the whole answer to a request.
+// Answer is the complete HTTP response to a request.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// run is one once-only request at the node that claims it.
-type run struct {
+// onceRun is the run of a once-only request on this node, or the wait for the
+// answer of another node.
+type onceRun struct {
 	id ledger.ClaimID
-	// digest is that of the request, to tell a repeat from a reused key.
+	// digest is the digest of the request. It distinguishes a repeated request from
+	// another one with the same key.
 	digest [32]byte
-	// done is closed when answer or refused is set.
+	// done is closed when the run ends; answer or refused is then set.
 	done    chan struct{}
 	answer  *Answer
 	refused *refusal.Error
+	// element is the run's element in the store's list of ended runs.
 	element *list.Element
 }
 
-// store holds the runs in progress and the latest answers, within a bound of
-// bytes. It is safe for concurrent use.
-type store struct {
-	mu    sync.Mutex
-	runs  map[ledger.ClaimID]*run
-	ended *list.List
+// runStore holds the runs in progress and the latest ended ones, whose sizes sum up
+// to at most limit bytes. It is safe for concurrent use.
+type runStore struct {
+	mu   sync.Mutex
+	runs map[ledger.ClaimID]*onceRun
+	// kept lists the ended runs, oldest first.
+	kept  *list.List
 	bytes int
 	limit int
 }
 
-func newStore(limit int) *store {
-	return &store{runs: make(map[ledger.ClaimID]*run), ended: list.New(), limit: limit}
+func newStore(limit int) *runStore {
+	return &runStore{runs: make(map[ledger.ClaimID]*onceRun), kept: list.New(), limit: limit}
 }
 
-// begin returns the run of an id, and whether it is new.
-func (s *store) begin(id ledger.ClaimID, digest [32]byte) (r *run, isNew bool) {
+// begin returns the run with an id, and whether it was created by this call.
+func (s *runStore) begin(id ledger.ClaimID, digest [32]byte) (r *onceRun, isNew bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r = s.runs[id]; r != nil {
 		return r, false
 	}
-	r = &run{id: id, digest: digest, done: make(chan struct{})}
+	r = &onceRun{id: id, digest: digest, done: make(chan struct{})}
 	s.runs[id] = r
 	return r, true
 }
 
-func (s *store) find(id ledger.ClaimID) *run {
+func (s *runStore) find(id ledger.ClaimID) *onceRun {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[id]
 }
 
-// end closes a run. One that was refused, or whose answer another node holds,
-// is not kept: a repeat asks anew.
-func (s *store) end(r *run, answer *Answer, refused *refusal.Error, keep bool) {
+// end sets the result of a run. With keep, the run stays in the store until newer
+// ones displace it; otherwise it is deleted, so that a repeated request starts a
+// new run. Runs that were refused before anything was sent and answers held by
+// another node are not kept.
+func (s *runStore) end(r *onceRun, answer *Answer, refused *refusal.Error, keep bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.answer, r.refused = answer, refused
@@ -70,21 +76,21 @@
 		delete(s.runs, r.id)
 		return
 	}
-	r.element = s.ended.PushBack(r)
+	r.element = s.kept.PushBack(r)
 	s.bytes += r.size()
 	for s.bytes > s.limit {
-		oldest := s.ended.Front()
-		old := oldest.Value.(*run)
-		s.ended.Remove(oldest)
+		oldest := s.kept.Front()
+		old := oldest.Value.(*onceRun)
+		s.kept.Remove(oldest)
 		s.bytes -= old.size()
 		delete(s.runs, old.id)
 	}
 }
 
-// runOverhead is the memory of a run beside its answer's body.
+// runOverhead is the memory in bytes that a run takes beside the body of its answer.
 const runOverhead = 256
 
-func (r *run) size() int {
+func (r *onceRun) size() int {
 	if r.answer == nil {
 		return runOverhead
 	}
