--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -364,19 +364,19 @@
 // stop.
 const quiesceTimeout = 10 * time.Second
 
-// ErrUnsettled is returned by [Controller.Quiesce] if orders or records of this
+// ErrUnfinished is returned by [Controller.Quiesce] if orders or records of this
 // node were unfinished at the timeout.
-var ErrUnsettled = eris.New("orders or records of this node are unfinished; the next home takes them over")
+var ErrUnfinished = eris.New("orders or records of this node are unfinished; the next home takes them over")
 
 // Quiesce waits until this node executes no order and has no record to append. It
-// returns [ErrUnsettled] after quiesceTimeout or when the context ends.
+// returns [ErrUnfinished] after quiesceTimeout or when the context ends.
 func (c *Controller) Quiesce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, quiesceTimeout)
 	defer cancel()
 	for {
 		quiet, ok := ask(ctx, c, (*Controller).isQuiet)
 		if !ok {
-			return ErrUnsettled
+			return ErrUnfinished
 		}
 		if quiet {
 			return nil
@@ -384,7 +384,7 @@
 		select {
 		case <-c.Clock.After(tickInterval):
 		case <-ctx.Done():
-			return ErrUnsettled
+			return ErrUnfinished
 		}
 	}
 }
--- a/internal/control/fold.go
+++ b/internal/control/fold.go
@@ -122,7 +122,7 @@
 // this node's.
 func (c *Controller) handleOutcome(o ledger.Outcome) {
 	now := c.Clock.Now()
-	c.Metrics.Folds.Add(1)
+	c.Metrics.AppliedRecords.Add(1)
 	if !o.OK() {
 		c.Metrics.Rejected.Add(o.Reason.Name(), 1)
 	}
@@ -186,13 +186,13 @@
 	}
 }
 
-// ErrLogSilent is returned by [Controller.Propose] if the record was not decided
+// ErrUndecided is returned by [Controller.Propose] if the record was not decided
 // before the context ended.
-var ErrLogSilent = eris.New("the log has not decided the record in time; retry when the log is reachable")
+var ErrUndecided = eris.New("the log has not decided the record in time; retry when the log is reachable")
 
 // Propose appends a record to the log and waits for its outcome. It returns
 // [logservice.ErrBacklog] if the record cannot be queued. If the context ends
-// first, it returns [ErrLogSilent]; the record is then withdrawn if it has not been
+// first, it returns [ErrUndecided]; the record is then withdrawn if it has not been
 // sent, and otherwise late, if not nil, is called with the outcome when it is known.
 func (c *Controller) Propose(ctx context.Context, r *pb.Record, late func(ledger.Outcome)) (ledger.Outcome, error) {
 	done := make(chan ledger.Outcome, 1)
@@ -204,7 +204,7 @@
 	case <-ctx.Done():
 		// The control goroutine still sends to both channels.
 		go func() { c.abandon(<-seq, done, late) }()
-		return ledger.Outcome{}, ErrLogSilent
+		return ledger.Outcome{}, ErrUndecided
 	}
 	if s == 0 {
 		return ledger.Outcome{}, logservice.ErrBacklog
@@ -214,7 +214,7 @@
 		return o, nil
 	case <-ctx.Done():
 		c.abandon(s, done, late)
-		return ledger.Outcome{}, ErrLogSilent
+		return ledger.Outcome{}, ErrUndecided
 	}
 }
 
