--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -6,12 +6,15 @@
 	"olivetiller/internal/metric"
 )
 
-// Metrics are the counters of the control side.
+// Metrics are the metrics of the control plane: the counts of appends by this node,
+// of applied records, accepted loads, failed log reads, repeated attempts of orders
+// and written snapshots.
 type Metrics struct {
-	Appends, Folds, Decided, LogErrors, OrderRetries, Snapshots expvar.Int
+	Appends, AppliedRecords, Decided, LogErrors, OrderRetries, Snapshots expvar.Int
 	// Rejected counts rejected records by reason.
 	Rejected expvar.Map
-	// ConfigSpread is the time from a publish to the configuration in force here.
+	// ConfigSpread is the time in milliseconds from the proposal of a configuration
+	// change until this node applied it.
 	ConfigSpread *metric.Histogram
 }
 
@@ -21,11 +24,11 @@
 	return m
 }
 
-// Tree returns the metrics under their names.
+// Tree returns the metrics as a map by published name.
 func (m *Metrics) Tree() *expvar.Map {
 	t := new(expvar.Map).Init()
 	t.Set("appends", &m.Appends)
-	t.Set("folds", &m.Folds)
+	t.Set("folds", &m.AppliedRecords)
 	t.Set("loadsDecided", &m.Decided)
 	t.Set("logErrors", &m.LogErrors)
 	t.Set("orderRetries", &m.OrderRetries)
