--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Headers of the engine protocol.
+// Headers of the engine protocol, which io/engine documents.
 const (
 	headerNotRun     = "Engine-Not-Run"
 	headerRunning    = "Engine-Running"
@@ -23,16 +23,16 @@
 	headerKey        = "Olivetiller-Request-Key"
 )
 
-// defaultTokens is the length of an answer that sets none.
+// defaultTokens is the number of tokens of a response if the request doesn't set max_tokens.
 const defaultTokens = 16
 
-// Token returns token i of the answer to a prompt, so that a client can check
-// every token of a stream: its place, its model and its own prompt.
+// Token returns token i of the response to a prompt. It depends only on its arguments, so that a
+// client can check that each token of a stream has the right position, model and prompt.
 func Token(model, prompt string, i int) string {
 	return fmt.Sprintf("%08x ", uint32(xxhash.Sum64String(model+"\x00"+prompt+"\x00"+strconv.Itoa(i))))
 }
 
-// completion is the part of an OpenAI-style request that the stand-in reads.
+// completion holds the fields of an OpenAI-style request that the stand-in uses.
 type completion struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -72,7 +72,7 @@
 		http.Error(w, refusal, refusalStatus(refusal))
 		return
 	}
-	defer e.leave(res)
+	defer e.finish(res)
 	w.Header().Set(headerRunning, strconv.Itoa(e.inProgress()))
 	if e.isLeaving() {
 		w.Header().Set(headerLeaving, "true")
@@ -81,10 +81,10 @@
 		e.stream(w, r, &c)
 		return
 	}
-	e.whole(w, r, &c)
+	e.completeAtOnce(w, r, &c)
 }
 
-// refusalBusy is the refusal of an engine with no room.
+// refusalBusy is the refusal of an engine that runs Concurrency requests already.
 const refusalBusy = "busy"
 
 func refusalStatus(refusal string) int {
@@ -94,7 +94,7 @@
 	return http.StatusConflict
 }
 
-// admit counts the request in, or says why not.
+// admit counts a request as running, or returns nil and the reason for its refusal.
 func (e *Engine) admit(k unitKey, key string) (*resident, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,7 +105,7 @@
 	case e.running >= e.Concurrency:
 		return nil, refusalBusy
 	}
-	e.account()
+	e.updateIdle()
 	res.running++
 	e.running++
 	if key != "" {
@@ -114,13 +114,13 @@
 	return res, ""
 }
 
-func (e *Engine) leave(res *resident) {
+func (e *Engine) finish(res *resident) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.account()
+	e.updateIdle()
 	res.running--
 	e.running--
-	e.account()
+	e.updateIdle()
 }
 
 func (e *Engine) inProgress() int {
@@ -135,7 +135,7 @@
 	return e.leaving
 }
 
-// stream sends one event a token, and at the end "[DONE]".
+// stream sends one event for each token from the requested one on, and at the end "[DONE]".
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, c *completion) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	from, _ := strconv.Atoi(r.Header.Get(headerResumeFrom))
@@ -152,7 +152,7 @@
 			return
 		}
 		if e.currentIncarnation() != began {
-			// The process that streamed is gone.
+			// The engine was restarted: its process would have closed the connection.
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := io.WriteString(w, event(id, c.Model, Token(c.Model, text, i), chat)); err != nil {
@@ -176,7 +176,7 @@
 	return fmt.Sprintf("data: {\"id\":%q,\"object\":\"text_completion\",\"model\":%q,\"choices\":[{\"index\":0,\"text\":%q}]}\n\n", id, model, token)
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, c *completion) {
+func (e *Engine) completeAtOnce(w http.ResponseWriter, r *http.Request, c *completion) {
 	if !wait(r, e.FirstToken+time.Duration(c.MaxTokens-1)*e.BetweenTokens) {
 		return
 	}
@@ -184,7 +184,7 @@
 	for i := range c.MaxTokens {
 		text.WriteString(Token(c.Model, c.text(), i))
 	}
-	ans := answer{ID: r.Header.Get(headerRequestID), Model: c.Model, Usage: usage{c.MaxTokens}}
+	ans := response{ID: r.Header.Get(headerRequestID), Model: c.Model, Usage: usage{c.MaxTokens}}
 	ans.Choices = []choice{{FinishReason: "length"}}
 	if strings.HasPrefix(r.URL.Path, "/v1/chat/") {
 		ans.Choices[0].Message = &message{Role: "assistant", Content: text.String()}
@@ -195,8 +195,8 @@
 	_ = json.NewEncoder(w).Encode(ans)
 }
 
-// answer is a whole answer in the OpenAI style.
-type answer struct {
+// response is an OpenAI-style response without streaming.
+type response struct {
 	ID      string   `json:"id"`
 	Model   string   `json:"model"`
 	Choices []choice `json:"choices"`
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,9 +1,9 @@
-// Package engine is a small stand-in for a model engine.
-//
-// It loads and unloads units, streams deterministic tokens, resumes a stream
-// from any token, refuses or ignores old fencing numbers by setting, reports
-// its load on its answers, and notes every violation of its memory as a fault
-// of whoever gave the orders. It speaks the protocol that io/engine documents.
+// Package engine is a stand-in for a model engine. It implements the protocol that io/engine
+// documents: it loads and unloads units (models and adapters), streams tokens that depend only on
+// model, prompt and position, and resumes a stream from any token. It checks or ignores fencing
+// numbers, as configured, sends its number of running requests with its responses, and records
+// every load order that exceeds its memory or lacks an adapter's base model as a violation by the
+// sender.
 package engine
 
 import (
@@ -15,25 +15,27 @@
 	"olivetiller/standin/fault"
 )
 
-// Options describe an engine.
+// Options configure an engine.
 type Options struct {
 	Instance    string
 	Hall        string
 	MemoryBytes uint64
-	// ChecksFences refuses an order with a fence below the highest seen.
+	// ChecksFences makes the engine refuse an order whose fencing number is below the highest one
+	// seen.
 	ChecksFences bool
-	// Concurrency is how many requests run at once; more are refused.
+	// Concurrency is how many requests can run at once; further ones are refused.
 	Concurrency int
-	// FirstToken and BetweenTokens are the engine's speed.
+	// FirstToken is the time to the first token, and BetweenTokens the time between two tokens.
 	FirstToken, BetweenTokens time.Duration
-	// WeightStore is the address of the weight store; empty loads at once.
+	// WeightStore is the host:port of the weight store; without one, loads take no time.
 	WeightStore string
-	// DiskSpeedup divides the load time of a checkpoint held on disk.
+	// DiskSpeedup divides the time of a load from disk, which is that of a transfer at 1 GiB/s; 0
+	// means 4. A checkpoint that was loaded once is on disk.
 	DiskSpeedup float64
 	Seed        uint64
 }
 
-// phase of a unit in the engine.
+// phase is the state of a unit that occupies memory of the engine.
 type phase int
 
 const (
@@ -49,7 +51,7 @@
 	base    string
 	phase   phase
 	running int
-	// done is closed when the load or unload in progress ends.
+	// done is closed when the load ends; err is then its error.
 	done chan struct{}
 	err  error
 }
@@ -69,7 +71,7 @@
 	disk        map[unitKey]bool
 	violations  []string
 	loads       int
-	busy        busyClock
+	idleTime    idleClock
 	runs        map[string]int
 	client      *http.Client
 }
@@ -86,7 +88,8 @@
 	}
 }
 
-// Restart loses everything in memory, as a replaced process does.
+// Restart begins a new incarnation with nothing loaded, as when the process is replaced. Streams in
+// progress are aborted; checkpoints on disk remain.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,28 +98,29 @@
 	e.used, e.fence = 0, 0
 }
 
-// SetLeaving makes the engine say that it is leaving.
+// SetLeaving sets whether the engine announces in its status and responses that it drains.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
 }
 
-// Violations returns what the engine was ordered to do against its limits.
+// Violations returns a message for each order that the engine refused because it exceeded its
+// memory or lacked the adapter's base model.
 func (e *Engine) Violations() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.violations...)
 }
 
-// Loads returns how many loads took effect.
+// Loads returns how many loads have completed.
 func (e *Engine) Loads() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.loads
 }
 
-// Holds reports whether a version of a unit is loaded or loading.
+// Holds reports whether a version of a unit occupies memory: it is loading, loaded or unloading.
 func (e *Engine) Holds(unit, version string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -130,14 +134,14 @@
 	return e.runs[key]
 }
 
-// Idle returns for how long weights were held while nothing ran.
+// Idle returns the total time in which units were in memory and no request ran.
 func (e *Engine) Idle() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.busy.idle(time.Now(), e.used > 0, e.running > 0)
+	return e.idleTime.update(time.Now(), e.used > 0, e.running > 0)
 }
 
-// Handler returns the engine's HTTP interface.
+// Handler returns the engine's HTTP interface with its faults applied.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /engine/status", e.status)
@@ -152,18 +156,19 @@
 	e.violations = append(e.violations, e.Instance+": "+fmt.Sprintf(format, args...))
 }
 
-// busyClock sums the time in which weights were held and nothing ran.
-type busyClock struct {
-	last time.Time
-	sum  time.Duration
-	was  bool
+// idleClock sums the time in which units are in memory and no request runs.
+type idleClock struct {
+	last   time.Time
+	sum    time.Duration
+	idling bool
 }
 
-// idle brings the sum up to now and notes whether the engine idles from now on.
-func (b *busyClock) idle(now time.Time, holds, runs bool) time.Duration {
-	if b.was {
+// update adds the time since the last call to the sum if the engine was idle, records whether it is
+// idle from now on, and returns the sum.
+func (b *idleClock) update(now time.Time, holds, runs bool) time.Duration {
+	if b.idling {
 		b.sum += now.Sub(b.last)
 	}
-	b.last, b.was = now, holds && !runs
+	b.last, b.idling = now, holds && !runs
 	return b.sum
 }
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// order is the body of a load or unload.
+// order is the body of a load or unload request.
 type order struct {
 	Unit        string `json:"unit"`
 	Version     string `json:"version"`
@@ -29,9 +29,9 @@
 	return o, true
 }
 
-// fenced checks an order against the incarnation and the highest fence seen.
-// The caller holds mu.
-func (e *Engine) fenced(o order) error {
+// checkFence checks an order against the engine's incarnation and, if the engine checks fences, the
+// highest fencing number seen, which it updates. The caller holds e.mu.
+func (e *Engine) checkFence(o order) error {
 	if o.Incarnation != e.incarnation {
 		return errors.New("wrongIncarnation")
 	}
@@ -64,11 +64,11 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// beginLoad starts a load or joins the one in progress.
+// beginLoad starts a load, or returns the one that is in progress or complete.
 func (e *Engine) beginLoad(o order) (*resident, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.fenced(o); err != nil {
+	if err := e.checkFence(o); err != nil {
 		return nil, err
 	}
 	k := unitKey{o.Unit, o.Version}
@@ -86,11 +86,11 @@
 		e.violate("load of adapter %s without its base %s", o.Unit, o.Base)
 		return nil, errors.New("baseNotLoaded")
 	}
-	e.account()
+	e.updateIdle()
 	res := &resident{bytes: o.Bytes, base: o.Base, phase: loading, done: make(chan struct{})}
 	e.units[k] = res
 	e.used += o.Bytes
-	e.account()
+	e.updateIdle()
 	go e.finishLoad(k, res, e.disk[k])
 	return res, nil
 }
@@ -111,10 +111,10 @@
 	res.err = err
 	if e.units[k] == res {
 		if err != nil {
-			e.account()
+			e.updateIdle()
 			delete(e.units, k)
 			e.used -= res.bytes
-			e.account()
+			e.updateIdle()
 		} else {
 			res.phase = loaded
 			e.loads++
@@ -124,7 +124,7 @@
 	close(res.done)
 }
 
-// fetch takes the time of getting the checkpoint.
+// fetch takes as long as it takes to get a checkpoint from disk or from the weight store.
 func (e *Engine) fetch(k unitKey, bytes uint64, onDisk bool) error {
 	if e.WeightStore == "" {
 		return nil
@@ -158,7 +158,7 @@
 		return
 	}
 	e.mu.Lock()
-	if err := e.fenced(o); err != nil {
+	if err := e.checkFence(o); err != nil {
 		e.mu.Unlock()
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
@@ -181,16 +181,17 @@
 	}
 }
 
-// awaitUnload waits until nothing runs on the unit and frees it.
+// awaitUnload waits until no request uses the unit and frees its memory; it reports false if ctx
+// ended first.
 func (e *Engine) awaitUnload(ctx context.Context, k unitKey, res *resident) bool {
 	for {
 		e.mu.Lock()
 		if res.running == 0 {
 			if e.units[k] == res {
-				e.account()
+				e.updateIdle()
 				delete(e.units, k)
 				e.used -= res.bytes
-				e.account()
+				e.updateIdle()
 			}
 			e.mu.Unlock()
 			return true
@@ -204,19 +205,20 @@
 	}
 }
 
-// account brings the idle time up to now. The caller holds mu.
-func (e *Engine) account() {
-	e.busy.idle(time.Now(), e.used > 0, e.running > 0)
+// updateIdle brings the idle time up to now and records whether the engine is idle. The caller holds
+// e.mu.
+func (e *Engine) updateIdle() {
+	e.idleTime.update(time.Now(), e.used > 0, e.running > 0)
 }
 
-// unitStatus is one unit in the engine's status.
+// unitStatus is the status of one unit, as encoded in engineStatus.
 type unitStatus struct {
 	Unit    string `json:"unit"`
 	Version string `json:"version"`
 	Phase   string `json:"phase"`
 }
 
-// engineStatus is the engine's status.
+// engineStatus is the response to GET /engine/status.
 type engineStatus struct {
 	Instance     string       `json:"instance"`
 	Incarnation  uint64       `json:"incarnation"`
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,5 +1,6 @@
-// Package fault holds the fault switches that the stand-ins share: outage,
-// slowness and answers that are lost after the action took effect.
+// Package fault injects faults into the HTTP handlers of the stand-ins: outages, hanging requests,
+// latency, and responses that are lost after the request took effect. Each stand-in wraps its
+// handler in an [Injector], whose [Switches] a test or the bench sets.
 package fault
 
 import (
@@ -9,57 +10,60 @@
 	"time"
 )
 
-// Switches are the faults in force. The zero value has none.
+// Switches are the faults to inject. The zero value injects none.
 type Switches struct {
-	// Down refuses every request before it has an effect.
+	// Down answers every request with 503 before it has an effect.
 	Down bool
-	// Hang holds requests until their caller gives up, before any effect.
+	// Hang holds every request, without effect, until its client gives up.
 	Hang bool
-	// MinDelay and MaxDelay bound the time each request takes.
+	// MinDelay and MaxDelay bound the time that each request is delayed before it takes effect;
+	// the delay is drawn uniformly.
 	MinDelay, MaxDelay time.Duration
-	// LoseAnswers is the share of answers lost after the effect.
+	// LoseAnswers is the probability that a request takes effect and its connection is aborted
+	// without a response.
 	LoseAnswers float64
 }
 
-// Injector applies switches to a handler. It is safe for concurrent use.
+// Injector applies switches to the requests of a handler. It is safe for concurrent use.
 type Injector struct {
-	mu  sync.Mutex
-	sw  Switches
-	rng *rand.Rand
+	mu       sync.Mutex
+	switches Switches
+	rng      *rand.Rand
 }
 
-// New returns an injector without faults.
+// New returns an injector without faults. seed determines its random draws.
 func New(seed uint64) *Injector {
 	return &Injector{rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Set puts switches in force.
+// Set replaces the switches for all requests that begin from now on.
 func (i *Injector) Set(sw Switches) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.sw = sw
+	i.switches = sw
 }
 
-// Change edits the switches in force.
+// Change calls edit on the switches in force, atomically. The change applies to requests that begin
+// afterwards.
 func (i *Injector) Change(edit func(*Switches)) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	edit(&i.sw)
+	edit(&i.switches)
 }
 
-// draw decides the fate of one request.
+// draw returns the switches, the delay and whether to lose the response for one request.
 func (i *Injector) draw() (sw Switches, delay time.Duration, lose bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	delay = i.sw.MinDelay
-	if span := i.sw.MaxDelay - i.sw.MinDelay; span > 0 {
+	delay = i.switches.MinDelay
+	if span := i.switches.MaxDelay - i.switches.MinDelay; span > 0 {
 		delay += time.Duration(i.rng.Int64N(int64(span)))
 	}
-	lose = i.sw.LoseAnswers > 0 && i.rng.Float64() < i.sw.LoseAnswers
-	return i.sw, delay, lose
+	lose = i.switches.LoseAnswers > 0 && i.rng.Float64() < i.switches.LoseAnswers
+	return i.switches, delay, lose
 }
 
-// Wrap applies the switches to a handler.
+// Wrap returns a handler that applies the switches to each request and passes it to next.
 func (i *Injector) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		sw, delay, lose := i.draw()
@@ -75,7 +79,7 @@
 			time.Sleep(delay)
 		}
 		if lose {
-			// The effect takes place; the connection ends without an answer.
+			// The request takes effect; the connection is aborted without a response.
 			next.ServeHTTP(discard{http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
@@ -83,7 +87,7 @@
 	})
 }
 
-// discard is a response that goes nowhere.
+// discard is an http.ResponseWriter that drops what is written.
 type discard struct{ h http.Header }
 
 func (d discard) Header() http.Header         { return d.h }
--- a/standin/instancelist/instancelist.go
+++ b/standin/instancelist/instancelist.go
@@ -1,5 +1,5 @@
-// Package instancelist is a small stand-in for the platform's list of live and
-// leaving instances, which lags.
+// Package instancelist is a stand-in for the platform's list of live and draining instances. As in
+// the real list, changes become visible only after a delay.
 package instancelist
 
 import (
@@ -12,24 +12,24 @@
 	"olivetiller/standin/fault"
 )
 
-// Kinds of instance.
+// Kinds of instances: nodes of this system, engines, and instances of plain services.
 const (
 	KindNode    = "node"
 	KindEngine  = "engine"
 	KindService = "service"
 )
 
-// States of an instance.
+// States of an instance. An instance in state Leaving drains.
 const (
 	Live    = "live"
 	Leaving = "leaving"
 )
 
-// Instance is one entry.
+// Instance is an entry of the list, in the form of the HTTP interface.
 type Instance struct {
 	ID   string `json:"id"`
 	Kind string `json:"kind"`
-	// Service names the plain service of a KindService instance.
+	// Service is the name of the plain service; set only for KindService.
 	Service string `json:"service,omitempty"`
 	Address string `json:"address"`
 	Hall    string `json:"hall"`
@@ -42,8 +42,8 @@
 
 	mu  sync.Mutex
 	lag time.Duration
-	// versions holds the list after each change, oldest first; the last that is
-	// older than the lag is the one seen.
+	// versions holds the list after each change, oldest first. The newest one that is at least lag
+	// old is visible.
 	versions []version
 }
 
@@ -52,7 +52,8 @@
 	instances map[string]Instance
 }
 
-// New returns an empty list that shows each change after lag.
+// New returns an empty list that shows each change after lag. seed determines the draws of its
+// faults.
 func New(seed uint64, lag time.Duration) *List {
 	return &List{Faults: fault.New(seed), lag: lag, versions: []version{{instances: map[string]Instance{}}}}
 }
@@ -62,12 +63,12 @@
 	l.change(func(m map[string]Instance) { m[in.ID] = in })
 }
 
-// Remove takes an instance out.
+// Remove removes an instance.
 func (l *List) Remove(id string) {
 	l.change(func(m map[string]Instance) { delete(m, id) })
 }
 
-// SetState marks an instance live or leaving.
+// SetState sets the state of an instance; an unknown ID is ignored.
 func (l *List) SetState(id, state string) {
 	l.change(func(m map[string]Instance) {
 		if in, ok := m[id]; ok {
@@ -89,7 +90,7 @@
 	l.prune()
 }
 
-// prune drops the versions that nobody can see any more.
+// prune drops the versions that a newer visible version has replaced. The caller holds l.mu.
 func (l *List) prune() {
 	cut := time.Now().Add(-l.lag)
 	for len(l.versions) > 1 && !l.versions[1].at.After(cut) {
@@ -97,8 +98,8 @@
 	}
 }
 
-// Seen returns the list as it shows now.
-func (l *List) Seen() []Instance {
+// Visible returns the instances as the list shows them now, sorted by ID.
+func (l *List) Visible() []Instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.prune()
@@ -110,15 +111,15 @@
 	return out
 }
 
-// Handler returns the list's HTTP interface: GET /instances, and
-// PUT /instances/{id}/state with the new state as JSON.
+// Handler returns the list's HTTP interface with its faults applied: GET /instances, and PUT
+// /instances/{id}/state with the new state as JSON.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /instances", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(struct {
 			Instances []Instance `json:"instances"`
-		}{l.Seen()})
+		}{l.Visible()})
 	})
 	mux.HandleFunc("PUT /instances/{id}/state", func(w http.ResponseWriter, r *http.Request) {
 		var body struct {
--- a/standin/logservice/logservice.go
+++ b/standin/logservice/logservice.go
@@ -1,8 +1,6 @@
-// Package logservice is a small stand-in for the platform's append-only log.
-//
-// It keeps streams in memory and speaks the protocol that io/logservice
-// documents. Faults: see [fault.Switches]; besides, retention by count and a
-// bound on appends a second.
+// Package logservice is an in-memory stand-in for the platform's append-only log. It implements the
+// protocol that io/logservice documents. Besides the faults of [fault.Switches], it can limit the
+// rate of appends and the number of records that it retains.
 package logservice
 
 import (
@@ -18,20 +16,20 @@
 	"olivetiller/standin/fault"
 )
 
-// maxRecord bounds one append.
+// maxRecord is the largest record that can be appended, in bytes.
 const maxRecord = 1 << 20
 
-// Record is one record as read.
+// Record is a record of a stream with its offset.
 type Record struct {
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
 }
 
-// Page is the answer to a read.
+// Page is the response to a read.
 type Page struct {
-	// Earliest is the first offset still kept.
+	// Earliest is the offset of the oldest retained record; older ones were trimmed.
 	Earliest uint64 `json:"earliest"`
-	// Next is the offset that the next append will get.
+	// Next is the offset that the next appended record will get.
 	Next    uint64   `json:"next"`
 	Records []Record `json:"records"`
 }
@@ -53,8 +51,8 @@
 	changed chan struct{}
 }
 
-// New returns an empty log that takes perSecond appends and keeps the newest
-// retain records of a stream; 0 means no bound.
+// New returns an empty log that accepts perSecond appends per second and retains the newest retain
+// records of each stream; 0 means no limit. seed determines the draws of its faults.
 func New(seed uint64, perSecond float64, retain int) *Log {
 	l := &Log{Faults: fault.New(seed), streams: make(map[string]*stream), retain: retain, appended: make(map[string]int)}
 	if perSecond > 0 {
@@ -63,7 +61,8 @@
 	return l
 }
 
-// Handler returns the log's HTTP interface.
+// Handler returns the log's HTTP interface with its faults applied: POST and GET
+// /streams/{stream}/records append to and read a stream. A read may wait for records (waitMs).
 func (l *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /streams/{stream}/records", l.append)
@@ -71,7 +70,8 @@
 	return l.Faults.Wrap(mux)
 }
 
-// SetRetention changes how many records each stream keeps from now on.
+// SetRetention changes how many records each stream retains, and trims the streams accordingly; 0
+// means no limit.
 func (l *Log) SetRetention(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,14 +81,14 @@
 	}
 }
 
-// Appends returns the appends a stream has taken.
+// Appends returns how many records have been appended to a stream.
 func (l *Log) Appends(name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appended[name]
 }
 
-// Records returns what a stream keeps, for checks by tests.
+// Records returns the retained records of a stream.
 func (l *Log) Records(name string) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +122,8 @@
 	}{offset})
 }
 
-// Append appends a record and returns its offset.
+// Append appends a record to a stream and returns its offset. It bypasses the faults and the rate
+// limit.
 func (l *Log) Append(name string, data []byte) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,6 +1,7 @@
-// Package service is a small stand-in for a plain service beside the engines.
-// It keeps a record of every call that ran, by request key, so that a test can
-// check "at most once" and "not run" against the service's own word.
+// Package service is a stand-in for a plain service, one that needs no engine. It counts the runs
+// of every request by key, so that a test can check from the service's own record that a request
+// ran at most once or not at all. The bench, the demo and tests start it, mostly through package
+// standin/site.
 package service
 
 import (
@@ -18,26 +19,26 @@
 // Service is the stand-in. It is safe for concurrent use.
 type Service struct {
 	Faults *fault.Injector
-	// Work is how long a call takes.
+	// Work is how long a request takes.
 	Work time.Duration
 
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// New returns a service whose calls take work.
+// New returns a service whose requests take work. seed determines the draws of its faults.
 func New(seed uint64, work time.Duration) *Service {
 	return &Service{Faults: fault.New(seed), Work: work, runs: make(map[string]int)}
 }
 
-// Runs returns how often the call with a key ran.
+// Runs returns how often the request with a key ran.
 func (s *Service) Runs(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
-// MaxRuns returns the keys seen and the most runs of any of them.
+// MaxRuns returns the number of keys seen, and the largest number of runs of any of them.
 func (s *Service) MaxRuns() (keys, most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,12 +48,14 @@
 	return len(s.runs), most
 }
 
-// Answer is the body that a call with a key and body gets.
+// Answer returns the body of the response to a request with a key and a body, so that clients can
+// check it.
 func Answer(key string, body []byte) string {
 	return fmt.Sprintf(`{"key":%q,"sum":"%016x"}`, key, xxhash.Sum64(append([]byte(key), body...)))
 }
 
-// Handler returns the service's HTTP interface.
+// Handler returns the service's HTTP interface with its faults applied. Every path accepts
+// requests; the key is the header Olivetiller-Request-Key.
 func (s *Service) Handler() http.Handler {
 	return s.Faults.Wrap(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<20))
--- a/standin/site/shape.go
+++ b/standin/site/shape.go
@@ -9,34 +9,44 @@
 	pb "olivetiller/proto/olivetiller/v1"
 )
 
-// Shape is the size and speed of a deployment's platform and endpoints.
+// Shape describes the size and speed of a deployment's stand-ins.
 type Shape struct {
 	Name  string
 	Halls []string
-	// Engines of the two pools, spread evenly over the data halls.
+	// Engines and OtherEngines are the numbers of engines in the two pools. All engines are spread
+	// evenly over the data halls.
 	Engines, OtherEngines int
 	// EngineMemory is the accelerator memory of each engine, in bytes.
 	EngineMemory uint64
-	// FencedEvery makes every n-th engine ignore fences; 0 makes all check them.
-	UnfencedEvery                    int
-	Concurrency                      int
-	FirstToken, BetweenTokens        time.Duration
-	Models, Adapters                 int
-	ModelBytes, AdapterBytes         uint64
+	// UnfencedEvery makes every n-th engine ignore fencing numbers; with 0 all engines check them.
+	UnfencedEvery int
+	// Concurrency is how many requests each engine runs at once.
+	Concurrency int
+	// FirstToken is an engine's time to the first token, and BetweenTokens that between two tokens.
+	FirstToken, BetweenTokens time.Duration
+	// Models and Adapters are the numbers of models and adapters, and ModelBytes and AdapterBytes
+	// the size of each checkpoint.
+	Models, Adapters         int
+	ModelBytes, AdapterBytes uint64
+	// LoadsPerSecond limits how many loads the weight store starts, and LoadSlots how many it runs
+	// at once, each at StoreBytesPerSec.
 	LoadsPerSecond, StoreBytesPerSec float64
 	LoadSlots                        int
-	// Services are the names of the plain services; each has an instance a hall.
-	Services    []string
+	// Services are the names of the plain services; each has one instance in each data hall.
+	Services []string
+	// ServiceWork is how long a request to a plain service takes.
 	ServiceWork time.Duration
-	// ListLag is how far the instance list lags.
+	// ListLag is the delay after which the instance list shows a change.
 	ListLag time.Duration
-	// AppendsPerSecond bounds the log; Retain bounds its streams' records.
+	// AppendsPerSecond limits the appends to the log, and Retain the number of records of each
+	// stream; 0 means no limit.
 	AppendsPerSecond float64
 	Retain           int
-	Seed             uint64
+	// Seed determines the random draws of all stand-ins.
+	Seed uint64
 }
 
-// Sizes of the stand-in checkpoints. Only their ratio to the memory and the
+// Sizes of the stand-in checkpoints, in bytes. Only their ratio to the engines' memory and to the
 // store's speed matters.
 const (
 	gib          = 1 << 30
@@ -44,7 +54,7 @@
 	adapterBytes = gib / 4
 )
 
-// Krautwerk is the shape of Krautwerk Herbarscan's deployment.
+// Krautwerk returns the shape of Krautwerk Herbarscan's deployment.
 func Krautwerk() Shape {
 	s := common()
 	s.Name = "krautwerk"
@@ -54,7 +64,8 @@
 	return s
 }
 
-// Suva is the shape of Suva Civic Print Works' deployment.
+// Suva returns the shape of Suva Civic Print Works' deployment, in which some engines ignore
+// fencing numbers.
 func Suva() Shape {
 	s := common()
 	s.Name = "suva"
@@ -75,7 +86,7 @@
 	}
 }
 
-// CallerToken returns the bearer token of a stand-in caller.
+// CallerToken returns the bearer token of a caller of Callers.
 func CallerToken(caller string) string { return "token-of-" + caller }
 
 // ModelName returns the name of model i.
@@ -84,10 +95,11 @@
 // AdapterName returns the name of adapter i.
 func AdapterName(i int) string { return fmt.Sprintf("adapter-%02d", i) }
 
-// Callers are the names of the stand-in callers.
+// Callers are the names of the callers in the configuration.
 var Callers = []string{"curator", "museum", "clerk"}
 
-// Config returns a configuration for the shape.
+// Config returns a configuration of the platform for the shape: its models, adapters, services and
+// callers.
 func (s Shape) Config() *pb.Config {
 	const store = "weights"
 	cfg := &pb.Config{
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -1,6 +1,6 @@
-// Package site runs the stand-ins of a whole deployment on loopback: the log,
-// the weight store, the instance list, engines and plain services, in the shapes
-// of the two deployments of today.
+// Package site runs the stand-ins of a whole deployment on loopback: the log, the weight store, the
+// instance list, the engines and the plain services. [Krautwerk] and [Suva] are the shapes of the
+// two existing deployments. The bench, the demo and package internal/fleet start it.
 package site
 
 import (
@@ -17,16 +17,18 @@
 	"olivetiller/standin/weightstore"
 )
 
-// Addresses are where a site's stand-ins listen; empty ones take a free port.
+// Addresses are the host:port pairs on which the stand-ins listen; an empty one takes a free port.
 type Addresses struct {
 	Log, List, Store string
-	// EnginePort is the first of the engines' ports; 0 takes free ones.
+	// EnginePort is the port of the first engine; the others take the ports after it. 0 takes free
+	// ports.
 	EnginePort int
-	// ServicePort is the first of the services' ports; 0 takes free ones.
+	// ServicePort is the port of the first service instance; the others take the ports after it. 0
+	// takes free ports.
 	ServicePort int
 }
 
-// Site is a running deployment's worth of stand-ins.
+// Site holds the running stand-ins of a deployment.
 type Site struct {
 	Shape    Shape
 	Log      *logservice.Log
@@ -34,13 +36,15 @@
 	List     *instancelist.List
 	Engines  []*engine.Engine
 	Services map[string][]*service.Service
-	// LogAddress and ListAddress are what a node's settings need.
+	// LogAddress and ListAddress are the addresses of the log and of the instance list, which a
+	// node's settings need.
 	LogAddress, ListAddress string
 
 	servers []*http.Server
 }
 
-// Start runs the stand-ins of a shape.
+// Start starts the stand-ins of a shape and lists its engines and services in the instance list.
+// After an error, stand-ins that were started keep running.
 func Start(shape Shape, a Addresses) (*Site, error) {
 	s := &Site{Shape: shape, Services: make(map[string][]*service.Service)}
 	s.Log = logservice.New(shape.Seed, shape.AppendsPerSecond, shape.Retain)
@@ -124,12 +128,12 @@
 	return l.Addr().String(), nil
 }
 
-// AddNode puts a node into the instance list.
+// AddNode adds a live node to the instance list.
 func (s *Site) AddNode(name, address, hall string) {
 	s.List.Put(instancelist.Instance{ID: name, Kind: instancelist.KindNode, Address: address, Hall: hall, State: instancelist.Live})
 }
 
-// Loads returns how many loads took effect on all engines.
+// Loads returns how many loads have completed on all engines.
 func (s *Site) Loads() int {
 	n := 0
 	for _, e := range s.Engines {
@@ -138,7 +142,8 @@
 	return n
 }
 
-// Violations returns what the engines were ordered to do against their limits.
+// Violations returns a message for each order that an engine refused because it exceeded its memory
+// or lacked the adapter's base model.
 func (s *Site) Violations() []string {
 	var out []string
 	for _, e := range s.Engines {
@@ -147,7 +152,7 @@
 	return out
 }
 
-// Runs returns how often the service's call with a key ran on all instances.
+// Runs returns how often a service's request with a key ran on all its instances.
 func (s *Site) Runs(name, key string) int {
 	n := 0
 	for _, svc := range s.Services[name] {
@@ -156,7 +161,7 @@
 	return n
 }
 
-// Close ends the stand-ins.
+// Close closes the servers of all stand-ins.
 func (s *Site) Close() {
 	for _, srv := range s.servers {
 		_ = srv.Close()
--- a/standin/weightstore/weightstore.go
+++ b/standin/weightstore/weightstore.go
@@ -1,5 +1,5 @@
-// Package weightstore is a small stand-in for the platform's rate-limited store
-// of checkpoints. It sends no bytes, only takes the time they would take.
+// Package weightstore is a stand-in for the platform's rate-limited store of model checkpoints. It
+// transfers no data; a load only takes the time that the transfer would.
 package weightstore
 
 import (
@@ -21,15 +21,16 @@
 
 	starts *rate.Limiter
 	slots  *semaphore.Weighted
-	// bytesPerSecond is the speed of one load.
+	// bytesPerSecond is the transfer rate of each load.
 	bytesPerSecond float64
-	// slowdown multiplies the time of a load, in hundredths.
+	// slowdown is the factor on the duration of a load, in hundredths.
 	slowdown atomic.Int64
 	loads    atomic.Int64
 }
 
-// New returns a store that begins startsPerSecond loads and runs slots of them
-// at full speed; more wait.
+// New returns a store that starts at most startsPerSecond loads per second and runs at most slots
+// loads at once, each at bytesPerSecond; further loads wait. seed determines the draws of its
+// faults.
 func New(seed uint64, startsPerSecond float64, slots int64, bytesPerSecond float64) *Store {
 	s := &Store{
 		Faults:         fault.New(seed),
@@ -41,13 +42,15 @@
 	return s
 }
 
-// Slow multiplies the time of each load from now on.
+// Slow sets the factor on the duration of loads that start transferring from now on; 1 is the
+// normal speed.
 func (s *Store) Slow(factor float64) { s.slowdown.Store(int64(factor * 100)) }
 
-// Loads returns the loads that have ended.
+// Loads returns the number of completed loads.
 func (s *Store) Loads() int64 { return s.loads.Load() }
 
-// Handler returns the store's HTTP interface: GET /weights/{unit}/{version}?bytes=N.
+// Handler returns the store's HTTP interface with its faults applied: GET
+// /weights/{unit}/{version}?bytes=N returns 204 once a load of N bytes is complete.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /weights/{unit}/{version}", func(w http.ResponseWriter, r *http.Request) {
