--- a/cmd/olivetiller/hosted.go
+++ b/cmd/olivetiller/hosted.go
@@ -41,7 +41,7 @@
 	// Libraries write to the standard logger; redirect it to the JSON log.
 	log.SetFlags(0)
 	log.SetOutput(logger.Named("library").StandardWriter(&hclog.StandardLoggerOptions{ForceLevel: hclog.Info}))
-	n, err := hosted.Start(platform.NodeSettings(s), platform.Plug(s), newClock(logger), logger)
+	n, err := hosted.Start(platform.NodeSettings(s), platform.NewAdapter(s), newClock(logger), logger)
 	if err != nil {
 		logger.Error("start failed", "error", err.Error())
 		return usageError{err}
--- a/cmd/olivetiller/main_test.go
+++ b/cmd/olivetiller/main_test.go
@@ -97,7 +97,7 @@
 
 // ask sends a completion request for a model to an address and checks every token of the answer.
 func ask(ts *testscript.TestScript, neg bool, args []string) {
-	r := client.New("curator").Complete(context.Background(), args[0], client.Ask{
+	r := client.New("curator").Complete(context.Background(), args[0], client.Completion{
 		Model: args[1], Prompt: "p", Tokens: 5, Stream: true, Timeout: 30 * time.Second,
 	})
 	if r.Whole == neg {
--- a/core/admit/admit.go
+++ b/core/admit/admit.go
@@ -2,7 +2,7 @@
 // refused immediately, before any work is spent on it.
 //
 // A [Model] learns the load time and the service time of one unit from observations. Its prediction,
-// [Model.AtLeast], is the remaining load time plus the service times of the requests ahead. It is a lower bound
+// [Model.MinWait], is the remaining load time plus the service times of the requests ahead. It is a lower bound
 // that is rarely wrong, so that only requests without a chance are refused. Admission by predicted cost is known
 // from the serving of diffusion models; here the cost consists of loads and queues instead of denoising steps.
 package admit
@@ -54,8 +54,8 @@
 	return time.Duration(max(0, e.mean-2*e.dev))
 }
 
-// Wait is the state of the unit that a request has to wait for.
-type Wait struct {
+// Backlog is the state of the unit that a request has to wait for.
+type Backlog struct {
 	// Ready is true if a replica of the unit is loaded.
 	Ready bool
 	// Ahead is the number of requests that wait before this one.
@@ -74,8 +74,8 @@
 	Serve Estimate
 }
 
-// AtLeast returns a lower bound of the time until the request can start.
-func (m *Model) AtLeast(w Wait) time.Duration {
+// MinWait returns a lower bound of the time until the request can start.
+func (m *Model) MinWait(w Backlog) time.Duration {
 	var d time.Duration
 	if !w.Ready {
 		d = max(0, m.Load.Low()-w.LoadElapsed)
--- a/core/choose/choose.go
+++ b/core/choose/choose.go
@@ -19,9 +19,9 @@
 	SameHall bool
 	// Running is the number of the node's own outstanding requests there.
 	Running int
-	// Prompts is the total length, in tokens, of the prompts that the node has sent there and that
+	// UnreadTokens is the total length, in tokens, of the prompts that the node has sent there and that
 	// have not been read yet.
-	Prompts int
+	UnreadTokens int
 	// Reported is the load that the engine reported last: the requests of all nodes.
 	Reported int
 	// ReportedAt is when that load was reported; zero if it never was.
@@ -32,16 +32,16 @@
 	Health *Health
 	// Avoid is true if the replica has just failed this request. It is chosen only as the last resort.
 	Avoid bool
-	// Shut is true if the replica has reported that it takes no requests now.
-	Shut bool
+	// Closed is true if the replica has reported that it takes no requests now.
+	Closed bool
 	// Suspects is the number of the node's own outstanding requests there that are suspected of crashing engines.
 	Suspects int
-	// Apart is true if this request itself is such a suspect. Spread is then a number that differs
+	// Suspect is true if this request itself is such a suspect. Spread is then a number that differs
 	// between its replicas and orders them differently for each suspect.
-	Apart  bool
-	Spread uint64
-	// Home is true if the replica is the one most likely to have the beginning of the prompt in its cache.
-	Home bool
+	Suspect bool
+	Spread  uint64
+	// HasPrefix is true if the replica is the one most likely to have the beginning of the prompt in its cache.
+	HasPrefix bool
 }
 
 // reportTTL is how long a reported load is used.
@@ -79,7 +79,7 @@
 	var bestScore int
 	for i := range replicas {
 		r := &replicas[i]
-		if r.Shut || !r.Window.HasRoom(r.Running, now) || !r.Health.Admits(now, r.Running) {
+		if r.Closed || !r.Window.HasRoom(r.Running, now) || !r.Health.Admits(now, r.Running) {
 			continue
 		}
 		if s := r.score(now); best < 0 || s < bestScore {
@@ -98,14 +98,14 @@
 	if !r.SameHall {
 		load += hallPenalty
 	}
-	load += r.Prompts / promptTokensPerLoad
-	if r.Home {
+	load += r.UnreadTokens / promptTokensPerLoad
+	if r.HasPrefix {
 		load -= cacheBonus
 	}
 	if r.Avoid {
 		load += avoidPenalty
 	}
-	if r.Apart {
+	if r.Suspect {
 		return load + r.Suspects*suspectPenalty + int(r.Spread%suspectSpread)
 	}
 	return load + r.Suspects*riskPenalty
@@ -155,9 +155,9 @@
 	}
 }
 
-// Full records that the engine refused a request because it is full. Refusals during a pause are ignored: they
+// Refused records that the engine refused a request because it is full. Refusals during a pause are ignored: they
 // are due to the same overload.
-func (w *Window) Full(now time.Time) {
+func (w *Window) Refused(now time.Time) {
 	if now.Before(w.pausedUntil) {
 		return
 	}
@@ -203,16 +203,16 @@
 // Succeeded records an answer, which ends an ejection.
 func (h *Health) Succeeded() { h.failures = 0 }
 
-// Silent records that the replica did not answer within the time that an answer may take, or was unreachable.
+// Unresponsive records that the replica did not answer within the time that an answer may take, or was unreachable.
 // One such failure ejects it: the next request would wait as long.
-func (h *Health) Silent(now time.Time) {
+func (h *Health) Unresponsive(now time.Time) {
 	h.failures = max(h.failures, ejectAfter-1)
 	h.Failed(now)
 }
 
-// Ended records that the replica's process has ended. It is ejected until it can have restarted. However many
+// ProcessEnded records that the replica's process has ended. It is ejected until it can have restarted. However many
 // requests failed with it, that counts as one failure, and ejects for no more than minEjection.
-func (h *Health) Ended(now time.Time) {
+func (h *Health) ProcessEnded(now time.Time) {
 	h.failures = max(h.failures, ejectAfter)
 	if until := now.Add(minEjection); until.After(h.until) {
 		h.until = until
--- a/core/customer/customer.go
+++ b/core/customer/customer.go
@@ -87,29 +87,29 @@
 	Regions []string
 }
 
-// Fault is the error for an invalid customer.
-type Fault struct {
+// InvalidError is the error for an invalid customer.
+type InvalidError struct {
 	// Customer is the customer's name; Error shortens it.
 	Customer string
 	Problem  string
 }
 
 // Error implements error.
-func (f Fault) Error() string { return fmt.Sprintf("customer %.40q: %s", f.Customer, f.Problem) }
+func (f InvalidError) Error() string { return fmt.Sprintf("customer %.40q: %s", f.Customer, f.Problem) }
 
 // check validates a customer on its own.
 func (c *Customer) check() error {
 	switch l := c.Limit; {
 	case c.Name == "":
-		return Fault{"", "the name is empty; set one"}
+		return InvalidError{"", "the name is empty; set one"}
 	case !validHeaderValue(c.Name):
-		return Fault{c.Name, "the name is not a valid header value; use printable ASCII characters, and no space at either end"}
+		return InvalidError{c.Name, "the name is not a valid header value; use printable ASCII characters, and no space at either end"}
 	case !validAmount(l.Rate):
-		return Fault{c.Name, fmt.Sprintf("the rate is %v; use a finite number of 0 or more", l.Rate)}
+		return InvalidError{c.Name, fmt.Sprintf("the rate is %v; use a finite number of 0 or more", l.Rate)}
 	case !validAmount(l.Burst):
-		return Fault{c.Name, fmt.Sprintf("the burst is %v; use a finite number of 0 or more", l.Burst)}
+		return InvalidError{c.Name, fmt.Sprintf("the burst is %v; use a finite number of 0 or more", l.Burst)}
 	case !validAmount(l.PlainTokens):
-		return Fault{c.Name, fmt.Sprintf("the cost of a request without token counts is %v; use a finite number of 0 or more", l.PlainTokens)}
+		return InvalidError{c.Name, fmt.Sprintf("the cost of a request without token counts is %v; use a finite number of 0 or more", l.PlainTokens)}
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 	names map[string]*Customer
 }
 
-// NewIndex validates customers and returns their index. The error joins a [Fault] for each invalid one: a version
+// NewIndex validates customers and returns their index. The error joins a [InvalidError] for each invalid one: a version
 // with any of them is rejected as a whole.
 func NewIndex(customers []Customer) (*Index, error) {
 	x := &Index{keys: make(map[Digest]*Customer), names: make(map[string]*Customer, len(customers))}
@@ -148,13 +148,13 @@
 			continue
 		}
 		if x.names[c.Name] != nil {
-			faults = append(faults, Fault{c.Name, "another customer has this name; use unique names"})
+			faults = append(faults, InvalidError{c.Name, "another customer has this name; use unique names"})
 			continue
 		}
 		x.names[c.Name] = c
 		for _, k := range c.Keys {
 			if other := x.keys[k]; other != nil && other != c {
-				faults = append(faults, Fault{c.Name, fmt.Sprintf("one of its keys also belongs to customer %.40q; assign each key to one customer", other.Name)})
+				faults = append(faults, InvalidError{c.Name, fmt.Sprintf("one of its keys also belongs to customer %.40q; assign each key to one customer", other.Name)})
 			}
 			x.keys[k] = c
 		}
@@ -165,8 +165,8 @@
 	return x, nil
 }
 
-// Holder returns the customer that a key belongs to, or nil. It does not allocate.
-func (x *Index) Holder(k Digest) *Customer { return x.keys[k] }
+// ByKey returns the customer that a key belongs to, or nil. It does not allocate.
+func (x *Index) ByKey(k Digest) *Customer { return x.keys[k] }
 
-// Named returns the customer with a name, or nil.
-func (x *Index) Named(name string) *Customer { return x.names[name] }
+// ByName returns the customer with a name, or nil.
+func (x *Index) ByName(name string) *Customer { return x.names[name] }
--- a/core/customer/customer_test.go
+++ b/core/customer/customer_test.go
@@ -30,14 +30,14 @@
 	}
 	got := make(map[string]string)
 	for _, k := range []string{"k1", "k2", "k3", "k4", ""} {
-		if c := x.Holder(DigestOf(k)); c != nil {
+		if c := x.ByKey(DigestOf(k)); c != nil {
 			got[k] = c.Name
 		}
 	}
 	if diff := cmp.Diff(map[string]string{"k1": "a", "k2": "a", "k3": "b"}, got); diff != "" {
 		t.Errorf("holders (-want +got):\n%s", diff)
 	}
-	if x.Named("without keys") == nil || x.Named("c") != nil {
+	if x.ByName("without keys") == nil || x.ByName("c") != nil {
 		t.Error("Named returns the wrong customer")
 	}
 }
@@ -63,7 +63,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			x, err := NewIndex(tt.in)
-			var f Fault
+			var f InvalidError
 			if x != nil || !errors.As(err, &f) || f.Customer != tt.want || f.Problem == "" {
 				t.Errorf("NewIndex = %v, %v; want a fault of %q", x, err, tt.want)
 			}
@@ -126,7 +126,7 @@
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		if x.Holder(DigestOf("key-500-50")) == nil {
+		if x.ByKey(DigestOf("key-500-50")) == nil {
 			b.Fatal("not found")
 		}
 	}
--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -3,13 +3,13 @@
 //
 // The home must know the demand of all nodes without a message per request, and must not act on the reports of a
 // node that has gone. A node therefore reports a unit when its numbers change, and again before its last report
-// expires. A report replaces the previous one of the same node, and expires after [Life].
+// expires. A report replaces the previous one of the same node, and expires after [ReportTTL].
 package demand
 
 import "time"
 
-// Life is how long a report is valid.
-const Life = 5 * time.Second
+// ReportTTL is how long a report is valid.
+const ReportTTL = 5 * time.Second
 
 // Report is the demand of one node for one unit.
 type Report struct {
@@ -35,9 +35,9 @@
 
 // Table holds the reports of all nodes. It is not safe for concurrent use; one goroutine owns it.
 type Table struct {
-	// Life is how long a report is valid.
-	Life  time.Duration
-	units map[string]*unit
+	// ReportTTL is how long a report is valid.
+	ReportTTL time.Duration
+	units     map[string]*unit
 }
 
 type unit struct {
@@ -52,7 +52,7 @@
 }
 
 // NewTable returns an empty table with the default Life.
-func NewTable() *Table { return &Table{Life: Life, units: make(map[string]*unit)} }
+func NewTable() *Table { return &Table{ReportTTL: ReportTTL, units: make(map[string]*unit)} }
 
 // Put records a node's report. A report without waiting and running requests removes the node's entry.
 func (t *Table) Put(node string, r Report, now time.Time) {
@@ -83,7 +83,7 @@
 	}
 	d := Demand{LastUse: u.lastUse}
 	for node, r := range u.reports {
-		if now.Sub(r.at) > t.Life {
+		if now.Sub(r.at) > t.ReportTTL {
 			delete(u.reports, node)
 			continue
 		}
@@ -118,8 +118,8 @@
 	}
 }
 
-// Used records a use of a unit that no report states: a base model is used through its adapters.
-func (t *Table) Used(name string, at time.Time) {
+// MarkUsed records a use of a unit that no report states: a base model is used through its adapters.
+func (t *Table) MarkUsed(name string, at time.Time) {
 	u := t.units[name]
 	if u == nil {
 		u = &unit{reports: make(map[string]receivedReport)}
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -62,10 +62,10 @@
 const (
 	// Unchanged means that the record was a heartbeat, or obsolete.
 	Unchanged Change = iota
-	// Holding means that only the engine's holdings changed.
-	Holding
-	// Place means that the endpoint appeared, vanished, moved, or changed its capacity or whether it takes work.
-	Place
+	// HoldingsChanged means that only the engine's holdings changed.
+	HoldingsChanged
+	// Routing means that the endpoint appeared, vanished, moved, or changed its capacity or whether it takes work.
+	Routing
 )
 
 // Entry is an instance with the state that this node keeps about it. A gone entry is a tombstone.
@@ -125,9 +125,9 @@
 	d.tombstones[e.ID] = e
 }
 
-// StoreAway records that the store did not answer at now. Entries that are deleted within the following registerGrace
+// StoreUnreachable records that the store did not answer at now. Entries that are deleted within the following registerGrace
 // count as gone only at its end.
-func (d *Directory) StoreAway(now time.Time) { d.deletionsValidAt = now.Add(registerGrace) }
+func (d *Directory) StoreUnreachable(now time.Time) { d.deletionsValidAt = now.Add(registerGrace) }
 
 // Apply applies one record and returns what changed.
 func (d *Directory) Apply(r Record, now time.Time) Change {
@@ -141,7 +141,7 @@
 		e = &Entry{Instance: *r.Instance, Version: r.Version, Since: r.Version, ColdUntil: coldUntil(r.Instance, now), HoldingsKnown: !r.Relayed}
 		e.ID = r.ID
 		d.add(e)
-		return Place
+		return Routing
 	case e.newerThan(r):
 		return Unchanged
 	}
@@ -164,13 +164,13 @@
 	}
 	change := changeOf(&e.Instance, &next)
 	if !e.GoneAt.IsZero() {
-		change, e.Since = Place, r.Version
+		change, e.Since = Routing, r.Version
 	}
 	// A draining endpoint stays draining until it restarts, even if an older record arrives late. A
 	// new incarnation has not announced a shutdown yet.
 	next.Draining = next.Draining || e.Draining && !restarted
 	if change == Unchanged && coldPhaseChanged(e.ColdUntil, coldUntil(&next, now)) {
-		change = Place
+		change = Routing
 	}
 	e.Instance, e.GoneAt, e.ColdUntil = next, time.Time{}, coldUntil(&next, now)
 	return change
@@ -242,7 +242,7 @@
 	if d.deletionsValidAt.After(now) {
 		e.GoneAt = d.deletionsValidAt
 	}
-	return Place
+	return Routing
 }
 
 // Drain records that an endpoint announced its shutdown. It reports whether that changed its entry.
@@ -255,8 +255,8 @@
 	return true
 }
 
-// DrainLife is like Drain for one incarnation of an endpoint. It does nothing if that one is not on the list.
-func (d *Directory) DrainLife(id string, start Start) bool {
+// DrainIncarnation is like Drain for one incarnation of an endpoint. It does nothing if that one is not on the list.
+func (d *Directory) DrainIncarnation(id string, start Start) bool {
 	e := d.entries[id]
 	return e != nil && e.Start == start && e.GoneAt.IsZero() && d.Drain(id)
 }
@@ -281,15 +281,15 @@
 	return out
 }
 
-// TellStarts reports whether endpoints here publish their starts, which holds if most entries have one. An
+// StartsPublished reports whether endpoints here publish their starts, which holds if most entries have one. An
 // entry without a start is then not an endpoint's. One entry with a start is not enough: if it were, a
 // foreign entry with a start would hide all endpoints where none publishes a start.
-func (d *Directory) TellStarts() bool { return 2*d.withStart > d.present }
+func (d *Directory) StartsPublished() bool { return 2*d.withStart > d.present }
 
 // live reports whether an entry is an endpoint's and not gone.
 func (d *Directory) live(e *Entry, now time.Time) bool {
 	if e.GoneAt.IsZero() {
-		return e.Start != 0 || !d.TellStarts()
+		return e.Start != 0 || !d.StartsPublished()
 	}
 	return now.Before(e.GoneAt)
 }
@@ -302,8 +302,8 @@
 	return nil
 }
 
-// Leaving returns the ids of the entries that are gone or scheduled to be, in no particular order.
-func (d *Directory) Leaving() []string {
+// Gone returns the ids of the entries that are gone or scheduled to be, in no particular order.
+func (d *Directory) Gone() []string {
 	out := make([]string, 0, len(d.tombstones))
 	for id := range d.tombstones {
 		out = append(out, id)
@@ -325,16 +325,16 @@
 
 func changeOf(a, b *Instance) Change {
 	switch {
-	case !SamePlace(a, b):
-		return Place
+	case !SameRouting(a, b):
+		return Routing
 	case !SameHoldings(a.Holdings, b.Holdings):
-		return Holding
+		return HoldingsChanged
 	}
 	return Unchanged
 }
 
-// SamePlace reports whether two instances are equal apart from their holdings.
-func SamePlace(a, b *Instance) bool {
+// SameRouting reports whether two instances are equal apart from their holdings.
+func SameRouting(a, b *Instance) bool {
 	return a.Start == b.Start && a.Service == b.Service && a.Address == b.Address && a.Hall == b.Hall && a.Slots == b.Slots &&
 		a.Draining == b.Draining && a.Remaining == b.Remaining
 }
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -42,17 +42,17 @@
 		}, at(100), nil},
 		{"vanished after the store was away", func(d *Directory) {
 			d.Apply(registered("a"), at(0))
-			d.StoreAway(at(5000))
+			d.StoreUnreachable(at(5000))
 			d.Apply(Record{ID: "a"}, at(5100))
 		}, at(7400), []string{"a"}},
 		{"vanished and still missing later", func(d *Directory) {
 			d.Apply(registered("a"), at(0))
-			d.StoreAway(at(5000))
+			d.StoreUnreachable(at(5000))
 			d.Apply(Record{ID: "a"}, at(5100))
 		}, at(7500), nil},
 		{"vanished and back", func(d *Directory) {
 			d.Apply(registered("a"), at(0))
-			d.StoreAway(at(5000))
+			d.StoreUnreachable(at(5000))
 			d.Apply(Record{ID: "a"}, at(5100))
 			d.Apply(registered("a"), at(6500))
 		}, at(9000), []string{"a"}},
@@ -119,7 +119,7 @@
 	d.Apply(whole, at(0))
 	relayed := draining("a")
 	relayed.Relayed = true
-	if got := d.Apply(relayed, at(1)); got != Place {
+	if got := d.Apply(relayed, at(1)); got != Routing {
 		t.Errorf("Apply = %v, want Place", got)
 	}
 	want := *whole.Instance
@@ -133,7 +133,7 @@
 func TestApplyReportsChanges(t *testing.T) {
 	d := New()
 	got := []Change{d.Apply(registered("a"), at(0)), d.Apply(registered("a"), at(1)), d.Apply(draining("a"), at(2)), d.Apply(Record{ID: "a"}, at(3)), d.Apply(Record{ID: "a"}, at(4))}
-	if diff := cmp.Diff([]Change{Place, Unchanged, Place, Place, Unchanged}, got); diff != "" {
+	if diff := cmp.Diff([]Change{Routing, Unchanged, Routing, Routing, Unchanged}, got); diff != "" {
 		t.Errorf("Apply (-want +got):\n%s", diff)
 	}
 }
--- a/core/evacuation/set.go
+++ b/core/evacuation/set.go
@@ -54,8 +54,8 @@
 	s.asOf = asOf
 }
 
-// ReadTo records that all records before a position have been applied.
-func (s *Set) ReadTo(at uint64) { s.asOf = max(s.asOf, at) }
+// CompleteTo records that all records before a position have been applied.
+func (s *Set) CompleteTo(at uint64) { s.asOf = max(s.asOf, at) }
 
 // AsOf returns the position up to which the set is known to be complete.
 func (s *Set) AsOf() uint64 { return s.asOf }
--- a/core/feedtree/doc.go
+++ b/core/feedtree/doc.go
@@ -9,7 +9,7 @@
 // the plan before, and a node that loses its feeder asks the next one of its list.
 //
 //	feeders := feedtree.Plan(nodes, before)
-//	for _, f := range feedtree.Choices(feeders, self) { ... }   // follow the first feeder that answers
+//	for _, f := range feedtree.Candidates(feeders, self) { ... }   // follow the first feeder that answers
 //
 // Two levels support FanOut*FanOut/2 = 8,192 nodes; larger fleets need a third level.
 package feedtree
--- a/core/feedtree/feedtree.go
+++ b/core/feedtree/feedtree.go
@@ -65,8 +65,8 @@
 	return n.Strength
 }
 
-// SamePlan reports whether two plans contain the same feeders.
-func SamePlan(a, b []Node) bool {
+// EqualPlans reports whether two plans contain the same feeders.
+func EqualPlans(a, b []Node) bool {
 	return slices.EqualFunc(a, b, func(x, y Node) bool { return x.Name == y.Name && x.Address == y.Address })
 }
 
@@ -75,10 +75,10 @@
 	return slices.ContainsFunc(feeders, func(f Node) bool { return f.Name == name })
 }
 
-// Choices returns the feeders that a node may follow, in order of preference: first those of its own data hall, in an
+// Candidates returns the feeders that a node may follow, in order of preference: first those of its own data hall, in an
 // order by rendezvous hashing that spreads the hall's nodes evenly, then those of other halls. It returns nil for a
 // feeder, which follows the holder.
-func Choices(feeders []Node, name, hall string) []Node {
+func Candidates(feeders []Node, name, hall string) []Node {
 	if IsFeeder(feeders, name) {
 		return nil
 	}
@@ -107,11 +107,11 @@
 	largeFleetDelay = 1500 * time.Millisecond
 )
 
-// Patience returns how long a node that follows no other node waits before it reads the store itself. Nodes is the size
+// ReadDelay returns how long a node that follows no other node waits before it reads the store itself. Nodes is the size
 // of the fleet, 0 if unknown. Draw is the node's own constant number between 0 and 1, spread evenly over all nodes, so
 // that they do not read at the same time. The delay is 0 in a fleet of at most FanOut nodes, which the holder can serve
 // alone.
-func Patience(nodes int, draw float64) time.Duration {
+func ReadDelay(nodes int, draw float64) time.Duration {
 	switch {
 	case nodes <= 0:
 		return unknownSizeDelay + time.Duration(draw*float64(unknownSizeSpread))
--- a/core/feedtree/feedtree_test.go
+++ b/core/feedtree/feedtree_test.go
@@ -30,7 +30,7 @@
 		feeders := Plan(nodes, nil)
 		children := make(map[string]int)
 		for _, n := range nodes {
-			if choices := Choices(feeders, n.Name, n.Hall); len(choices) > 0 {
+			if choices := Candidates(feeders, n.Name, n.Hall); len(choices) > 0 {
 				children[choices[0].Name]++
 				if choices[0].Hall != n.Hall {
 					t.Errorf("%d nodes: %s of hall %s follows a feeder of hall %s", size, n.Name, n.Hall, choices[0].Hall)
@@ -91,13 +91,13 @@
 // TestReadDelay checks that nodes of a large fleet that all lose their feeders make at most readsPerSecond complete
 // reads a second of the store, and that small fleets do not wait.
 func TestReadDelay(t *testing.T) {
-	if diff := cmp.Diff([]time.Duration{0, 0}, []time.Duration{Patience(1, 0.9), Patience(FanOut, 0.9)}); diff != "" {
+	if diff := cmp.Diff([]time.Duration{0, 0}, []time.Duration{ReadDelay(1, 0.9), ReadDelay(FanOut, 0.9)}); diff != "" {
 		t.Errorf("delay in small fleets (-want +got):\n%s", diff)
 	}
 	for _, nodes := range []int{300, 984, 2000} {
 		reads := make(map[time.Duration]int)
 		for i := range nodes {
-			reads[Patience(nodes, float64(i)/float64(nodes)).Truncate(time.Second)]++
+			reads[ReadDelay(nodes, float64(i)/float64(nodes)).Truncate(time.Second)]++
 		}
 		for at, n := range reads {
 			if n > readsPerSecond+1 {
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -22,9 +22,9 @@
 	RetryEvery = 400 * time.Millisecond
 	// ReadFresh is the maximum age of the latest complete read of the topic for a takeover.
 	ReadFresh = 1500 * time.Millisecond
-	// AwayLimit is how long after its lease expired a holder may continue while the store is
+	// MaxOutage is how long after its lease expired a holder may continue while the store is
 	// unreachable. Known outages last up to nine seconds.
-	AwayLimit = 15 * time.Second
+	MaxOutage = 15 * time.Second
 )
 
 // FirstFence is the fencing number of the first takeover in a new log.
@@ -34,8 +34,8 @@
 type Record struct {
 	// Holder is the name of the node that wrote the record.
 	Holder string `json:"holder"`
-	// Life identifies the incarnation of the node's process; see [NewLife].
-	Life string `json:"life"`
+	// Incarnation identifies the incarnation of the node's process; see [NewIncarnation].
+	Incarnation string `json:"life"`
 	// Address is where the holder accepts the reports of other nodes.
 	Address string `json:"address"`
 	// Release is true if the holder gives up the lease with this record.
@@ -51,8 +51,10 @@
 	Era uint64 `json:"era,omitempty"`
 }
 
-// SameLife reports whether two records were written by the same incarnation of the same node.
-func (r Record) SameLife(o Record) bool { return r.Holder == o.Holder && r.Life == o.Life }
+// SameIncarnation reports whether two records were written by the same incarnation of the same node.
+func (r Record) SameIncarnation(o Record) bool {
+	return r.Holder == o.Holder && r.Incarnation == o.Incarnation
+}
 
 // Lease is one node's view of the lease, built from the records that it has read and the results of
 // its own appends. It is not safe for concurrent use.
@@ -108,8 +110,8 @@
 // the required time before it takes over, so that not all nodes try at once.
 func New(self Record, delay time.Duration) *Lease { return &Lease{self: self, delay: delay} }
 
-// Succession sets whether the holder has named this node its successor, and the delay as in [New].
-func (l *Lease) Succession(successor bool, delay time.Duration) {
+// SetSuccession sets whether the holder has named this node its successor, and the delay as in [New].
+func (l *Lease) SetSuccession(successor bool, delay time.Duration) {
 	l.successor, l.delay = successor, delay
 }
 
@@ -125,8 +127,8 @@
 	l.end = p
 }
 
-// Fold applies one record, read at a position. Records at positions that were already read are ignored.
-func (l *Lease) Fold(offset uint64, r Record, now time.Time) {
+// Apply applies one record, read at a position. Records at positions that were already read are ignored.
+func (l *Lease) Apply(offset uint64, r Record, now time.Time) {
 	if offset < l.end {
 		return
 	}
@@ -137,7 +139,7 @@
 		return
 	}
 	l.eraTold = true
-	same := r.SameLife(l.holder)
+	same := r.SameIncarnation(l.holder)
 	switch {
 	case r.Release && same:
 		l.retire()
@@ -162,7 +164,7 @@
 	switch {
 	case l.holder.Holder == "" && l.former.Holder == "" && !r.Release, l.fromEarlierEra && !r.Release:
 		l.holder, l.seenAt, l.fromEarlierEra = r, now, true
-	case l.fromEarlierEra && r.SameLife(l.holder):
+	case l.fromEarlierEra && r.SameIncarnation(l.holder):
 		l.holder, l.fromEarlierEra = Record{}, false
 	}
 }
@@ -181,8 +183,8 @@
 	l.readAt, l.takeoverPending = now, false
 }
 
-// Trying reports whether a takeover by this node may still take effect although it was not acknowledged.
-func (l *Lease) Trying() bool { return l.takeoverPending }
+// TakeoverPending reports whether a takeover by this node may still take effect although it was not acknowledged.
+func (l *Lease) TakeoverPending() bool { return l.takeoverPending }
 
 // End returns the position to read from and to append at.
 func (l *Lease) End() uint64 { return l.end }
@@ -198,7 +200,7 @@
 
 // heldBySelf reports whether the current holder is this incarnation of this node.
 func (l *Lease) heldBySelf() bool {
-	return l.holder.SameLife(l.self)
+	return l.holder.SameIncarnation(l.self)
 }
 
 // Held reports whether this node may send orders to engines now, and under which fencing number.
@@ -209,9 +211,9 @@
 // Until returns when this node must stop sending orders; zero if it does not hold the lease.
 func (l *Lease) Until() time.Time { return l.until }
 
-// Wants reports whether this node should append a record now: a renewal of its own lease, or a
+// ShouldAppend reports whether this node should append a record now: a renewal of its own lease, or a
 // takeover of a lease that is free or that its holder has not renewed in time.
-func (l *Lease) Wants(now time.Time) bool {
+func (l *Lease) ShouldAppend(now time.Time) bool {
 	// A successor's first append relies on the records that the holder has relayed to it.
 	relayed := l.successor && !l.refused && l.end > 0
 	switch {
@@ -267,8 +269,8 @@
 	return now.Sub(l.sentAt)
 }
 
-// Appended records that the append in flight was acknowledged at a position.
-func (l *Lease) Appended(offset uint64, now time.Time) {
+// Acknowledged records that the append in flight was acknowledged at a position.
+func (l *Lease) Acknowledged(offset uint64, now time.Time) {
 	if position.Era(offset) < position.Era(l.end) {
 		// The store has been restored since, without this record.
 		l.Failed(now)
@@ -276,7 +278,7 @@
 	}
 	sent := l.sentAt
 	l.sentAt = time.Time{}
-	l.Fold(offset, l.self, now)
+	l.Apply(offset, l.self, now)
 	if l.heldBySelf() && !l.fromEarlierEra {
 		l.until = sent.Add(TTL - Margin)
 		l.heldUntil = l.until
@@ -294,11 +296,11 @@
 // mayOutlast reports whether a holder whose lease expired may continue if the store is unreachable:
 // nothing that this node has read or been answered shows another holder, and AwayLimit is not over.
 func (l *Lease) mayOutlast(now time.Time) bool {
-	return l.heldBySelf() && !l.heldUntil.IsZero() && now.Before(l.heldUntil.Add(AwayLimit))
+	return l.heldBySelf() && !l.heldUntil.IsZero() && now.Before(l.heldUntil.Add(MaxOutage))
 }
 
-// Deposed records that an engine has seen a higher fencing number than this node's.
-func (l *Lease) Deposed() { l.until, l.heldUntil = time.Time{}, time.Time{} }
+// Superseded records that an engine has seen a higher fencing number than this node's.
+func (l *Lease) Superseded() { l.until, l.heldUntil = time.Time{}, time.Time{} }
 
 // Releasing returns the record that gives up the lease; ok is false if this node does not hold it.
 // From this call on the node sends no orders.
@@ -312,7 +314,7 @@
 	return r, true
 }
 
-// NewLife returns a name that is unique to this incarnation of a node's process.
-func NewLife(node string) string {
+// NewIncarnation returns a name that is unique to this incarnation of a node's process.
+func NewIncarnation(node string) string {
 	return node + "-" + uuid.NewString()
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -17,7 +17,7 @@
 // at returns the time ms milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func rec(node string) Record { return Record{Holder: node, Life: node + "-1"} }
+func rec(node string) Record { return Record{Holder: node, Incarnation: node + "-1"} }
 
 // TestTakeover checks in which states of the lease node b wants to take it over.
 func TestTakeover(t *testing.T) {
@@ -29,45 +29,45 @@
 	}{
 		{"nothing read", func(*Lease, time.Time) {}, at(0), false},
 		{"read to its end and free", func(l *Lease, now time.Time) { l.CaughtUp(0, now) }, at(0), true},
-		{"another node holds it", func(l *Lease, now time.Time) { l.Fold(0, rec("a"), at(0)); l.CaughtUp(1, now) }, at(2400), false},
-		{"the other is silent", func(l *Lease, now time.Time) { l.Fold(0, rec("a"), at(0)); l.CaughtUp(1, now) }, at(2500), true},
+		{"another node holds it", func(l *Lease, now time.Time) { l.Apply(0, rec("a"), at(0)); l.CaughtUp(1, now) }, at(2400), false},
+		{"the other is silent", func(l *Lease, now time.Time) { l.Apply(0, rec("a"), at(0)); l.CaughtUp(1, now) }, at(2500), true},
 		{"the other renewed", func(l *Lease, now time.Time) {
-			l.Fold(0, rec("a"), at(0))
-			l.Fold(1, rec("a"), at(2000))
+			l.Apply(0, rec("a"), at(0))
+			l.Apply(1, rec("a"), at(2000))
 			l.CaughtUp(2, now)
 		}, at(4400), false},
 		{"the other gave it up", func(l *Lease, now time.Time) {
-			l.Fold(0, rec("a"), at(0))
-			l.Fold(1, Record{Holder: "a", Life: "a-1", Release: true}, at(100))
+			l.Apply(0, rec("a"), at(0))
+			l.Apply(1, Record{Holder: "a", Incarnation: "a-1", Release: true}, at(100))
 			l.CaughtUp(2, now)
 		}, at(100), true},
 		{"a former holder gave it up late", func(l *Lease, now time.Time) {
-			l.Fold(0, rec("a"), at(0))
-			l.Fold(1, rec("c"), at(3000))
-			l.Fold(2, Record{Holder: "a", Life: "a-1", Release: true}, at(3100))
+			l.Apply(0, rec("a"), at(0))
+			l.Apply(1, rec("c"), at(3000))
+			l.Apply(2, Record{Holder: "a", Incarnation: "a-1", Release: true}, at(3100))
 			l.CaughtUp(3, now)
 		}, at(3200), false},
 		{"a former life of this node holds it", func(l *Lease, now time.Time) {
-			l.Fold(0, Record{Holder: "b", Life: "b-0"}, at(0))
+			l.Apply(0, Record{Holder: "b", Incarnation: "b-0"}, at(0))
 			l.CaughtUp(1, now)
 		}, at(10), true},
 		{"silent, but the topic was not read lately", func(l *Lease, _ time.Time) {
-			l.Fold(0, rec("a"), at(0))
+			l.Apply(0, rec("a"), at(0))
 			l.CaughtUp(1, at(1000))
 		}, at(2600), false},
 		{"named and told, silent, not read at all", func(l *Lease, _ time.Time) {
-			l.Succession(true, 0)
-			l.Fold(4, rec("a"), at(0))
+			l.SetSuccession(true, 0)
+			l.Apply(4, rec("a"), at(0))
 		}, at(2500), true},
 		{"named, and refused once", func(l *Lease, _ time.Time) {
-			l.Succession(true, 0)
-			l.Fold(4, rec("a"), at(0))
+			l.SetSuccession(true, 0)
+			l.Apply(4, rec("a"), at(0))
 			l.Begin(at(2500), nil)
 			l.Failed(at(2510))
 		}, at(3500), false},
 		{"named, refused once, and read", func(l *Lease, now time.Time) {
-			l.Succession(true, 0)
-			l.Fold(4, rec("a"), at(0))
+			l.SetSuccession(true, 0)
+			l.Apply(4, rec("a"), at(0))
 			l.Begin(at(2500), nil)
 			l.Failed(at(2510))
 			l.CaughtUp(5, now)
@@ -83,7 +83,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			l := New(rec("b"), 0)
 			tt.do(l, tt.now)
-			if got := l.Wants(tt.now); got != tt.want {
+			if got := l.ShouldAppend(tt.now); got != tt.want {
 				t.Errorf("Wants(%v) = %t, want %t", tt.now.Sub(start), got, tt.want)
 			}
 		})
@@ -96,7 +96,7 @@
 	l := New(rec("a"), 0)
 	l.CaughtUp(7, at(0))
 	l.Begin(at(0), nil)
-	l.Appended(7, at(400))
+	l.Acknowledged(7, at(400))
 	type held struct {
 		Fence uint64
 		OK    bool
@@ -113,12 +113,12 @@
 	// A renewal without an answer gives no right when it is read back later.
 	l.Begin(at(1500), nil)
 	l.Failed(at(1600))
-	l.Fold(8, rec("a"), at(6000))
+	l.Apply(8, rec("a"), at(6000))
 	if _, ok := l.Held(at(6000)); ok {
 		t.Error("a renewal read back late gave the right to order")
 	}
 	// An earlier incarnation of this node is another holder.
-	l.Fold(9, Record{Holder: "a", Life: "a-0"}, at(6100))
+	l.Apply(9, Record{Holder: "a", Incarnation: "a-0"}, at(6100))
 	if _, ok := l.Held(at(6100)); ok {
 		t.Error("the earlier incarnation's record gave this incarnation the right to order")
 	}
@@ -131,7 +131,7 @@
 		l := New(rec("a"), 0)
 		l.CaughtUp(0, at(0))
 		l.Begin(at(0), nil)
-		l.Appended(0, at(4))
+		l.Acknowledged(0, at(4))
 		return l
 	}
 	tests := []struct {
@@ -143,8 +143,8 @@
 		{"never held", func(l *Lease) { *l = *New(rec("a"), 0) }, 10, false},
 		{"ran out", func(*Lease) {}, 10000, true},
 		{"ran out long ago", func(*Lease) {}, 16800, false},
-		{"another holder is known", func(l *Lease) { l.Fold(1, rec("b"), at(3000)) }, 3001, false},
-		{"an engine has seen a higher fence", func(l *Lease) { l.Deposed() }, 3001, false},
+		{"another holder is known", func(l *Lease) { l.Apply(1, rec("b"), at(3000)) }, 3001, false},
+		{"an engine has seen a higher fence", func(l *Lease) { l.Superseded() }, 3001, false},
 		{"given up", func(l *Lease) { l.Releasing() }, 10, false},
 	}
 	for _, tt := range tests {
@@ -200,7 +200,7 @@
 func runSchedule(t *rapid.T, w *logModel) {
 	const n = 3
 	for i := range n {
-		w.nodes = append(w.nodes, New(Record{Holder: fmt.Sprint(i), Life: "0"}, time.Duration(i)*100*time.Millisecond))
+		w.nodes = append(w.nodes, New(Record{Holder: fmt.Sprint(i), Incarnation: "0"}, time.Duration(i)*100*time.Millisecond))
 		w.read, w.readEra = append(w.read, 0), append(w.readEra, 0)
 		w.frozen = append(w.frozen, time.Time{})
 	}
@@ -216,7 +216,7 @@
 		case 0:
 			w.frozen[i] = w.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "freeze")) * time.Millisecond)
 		case 1:
-			w.nodes[i] = New(Record{Holder: fmt.Sprint(i), Life: fmt.Sprint(step)}, time.Duration(i)*100*time.Millisecond)
+			w.nodes[i] = New(Record{Holder: fmt.Sprint(i), Incarnation: fmt.Sprint(step)}, time.Duration(i)*100*time.Millisecond)
 			w.read[i] = 0
 		case 2:
 			if w.restores && rapid.IntRange(0, 1).Draw(t, "putBack") == 0 {
@@ -246,10 +246,10 @@
 		}
 		l := w.nodes[p.node]
 		switch {
-		case !l.self.SameLife(p.rec):
+		case !l.self.SameIncarnation(p.rec):
 			// The process that sent it has ended.
 		case ok && p.answer && p.rec.Era == w.era && !w.now.Before(w.frozen[p.node]):
-			l.Appended(w.at(p.at), w.now)
+			l.Acknowledged(w.at(p.at), w.now)
 		default:
 			l.Failed(w.now)
 		}
@@ -266,7 +266,7 @@
 		w.read[i], w.readEra[i] = 0, w.era
 	}
 	for ; w.read[i] < len(w.log); w.read[i]++ {
-		w.nodes[i].Fold(w.at(w.read[i]), w.log[w.read[i]], w.now)
+		w.nodes[i].Apply(w.at(w.read[i]), w.log[w.read[i]], w.now)
 	}
 	w.nodes[i].CaughtUp(w.at(len(w.log)), w.now)
 }
@@ -279,7 +279,7 @@
 
 func (w *logModel) appendIfWanted(t *rapid.T, i int) {
 	l := w.nodes[i]
-	if !l.Wants(w.now) {
+	if !l.ShouldAppend(w.now) {
 		return
 	}
 	rec := l.Begin(w.now, nil)
@@ -313,19 +313,19 @@
 // TestFormerHolderWaits guards against a node that released the lease and took it again without its
 // delay, because it still counted the delay from when the lease was free before its first takeover.
 func TestFormerHolderWaits(t *testing.T) {
-	l := New(Record{Holder: "a", Life: "a-1"}, 100*time.Millisecond)
+	l := New(Record{Holder: "a", Incarnation: "a-1"}, 100*time.Millisecond)
 	l.CaughtUp(0, start)
-	l.Wants(start)
+	l.ShouldAppend(start)
 	l.CaughtUp(0, at(200))
-	if !l.Wants(at(200)) {
+	if !l.ShouldAppend(at(200)) {
 		t.Fatal("Wants = false after the delay, although the lease is free")
 	}
 	l.Begin(at(200), nil)
-	l.Appended(0, at(210))
+	l.Acknowledged(0, at(210))
 	rec, _ := l.Releasing()
-	l.Fold(1, rec, at(5000))
+	l.Apply(1, rec, at(5000))
 	l.CaughtUp(2, at(5000))
-	got := []bool{l.Wants(at(5000)), l.Wants(at(5099)), l.Wants(at(5100))}
+	got := []bool{l.ShouldAppend(at(5000)), l.ShouldAppend(at(5099)), l.ShouldAppend(at(5100))}
 	if diff := cmp.Diff([]bool{false, false, true}, got); diff != "" {
 		t.Errorf("Wants immediately, just before and after the delay (-want +got):\n%s", diff)
 	}
@@ -335,10 +335,10 @@
 // which the restored store has acknowledged. It then held without a fencing number, and engines that
 // check fencing numbers refused all its orders.
 func TestAckOfAnotherEra(t *testing.T) {
-	l := New(Record{Holder: "a", Life: "a-1"}, 0)
+	l := New(Record{Holder: "a", Incarnation: "a-1"}, 0)
 	l.CaughtUp(0, start)
 	l.Begin(start, nil)
-	l.Appended(position.Begin(1), at(10))
+	l.Acknowledged(position.Begin(1), at(10))
 	if fence, held := l.Held(at(10)); held {
 		t.Errorf("the lease is held under fencing number %d by a record of an earlier era", fence)
 	}
--- a/core/lease/outage.go
+++ b/core/lease/outage.go
@@ -9,13 +9,13 @@
 const (
 	// FollowFresh is the maximum age of a node's latest report for it to count as a follower.
 	FollowFresh = 1500 * time.Millisecond
-	// AwayKept is how long after a failed call the store counts as unreachable: longer than the
+	// UnreachableTTL is how long after a failed call the store counts as unreachable: longer than the
 	// interval between two calls of a node that gets no answer.
-	AwayKept = 2 * time.Second
-	// VouchFresh is the maximum age of a report that the store is unreachable. It is longer than the
+	UnreachableTTL = 2 * time.Second
+	// ReportFresh is the maximum age of a report that the store is unreachable. It is longer than the
 	// interval between two reports. It is shorter than the time after which a node that receives
 	// nothing from the holder stops deferring to it, by the time that a takeover takes.
-	VouchFresh = 1200 * time.Millisecond
+	ReportFresh = 1200 * time.Millisecond
 	// reportWait is how long a holder whose lease expired waits for the other nodes' reports before it
 	// steps down. It is shorter than Margin, so that the holder has stopped before another node
 	// takes over.
@@ -29,14 +29,14 @@
 	// silenceLimit is how long a node without reports still counts as one that may take the lease, since it
 	// may be partitioned from the holder only. The remaining risk is a node that runs unheard for
 	// longer and is the first to reach the store again.
-	silenceLimit = AwayLimit
-	// FirstSettled is how long the first holder of a new log waits for reports of all other nodes,
+	silenceLimit = MaxOutage
+	// FirstReportWait is how long the first holder of a new log waits for reports of all other nodes,
 	// which start at the same time. It covers several report intervals.
-	FirstSettled = 3 * time.Second
+	FirstReportWait = 3 * time.Second
 )
 
-// Word is a node's latest report to the holder about its own access to the store.
-type Word struct {
+// Report is a node's latest report to the holder about its own access to the store.
+type Report struct {
 	// At is when the report was received.
 	At time.Time
 	// StoreAway is true if the node gets no answer from the store either, and no append of its own may
@@ -46,16 +46,16 @@
 	Stopping bool
 }
 
-// Verdict is the decision of a holder whose lease has expired.
-type Verdict int
+// Decision is the decision of a holder whose lease has expired.
+type Decision int
 
 const (
-	// GiveUp means to step down: another node may have taken the lease.
-	GiveUp Verdict = iota
-	// Pause means to send no orders while reports of other nodes may still arrive.
-	Pause
-	// GoOn means to continue sending orders: no other node can have taken the lease.
-	GoOn
+	// StepDown means to step down: another node may have taken the lease.
+	StepDown Decision = iota
+	// Wait means to send no orders while reports of other nodes may still arrive.
+	Wait
+	// Continue means to continue sending orders: no other node can have taken the lease.
+	Continue
 )
 
 // Outage decides whether a holder continues to send orders after its lease expired because the store is
@@ -67,7 +67,7 @@
 	self   string
 	// latestReports holds the latest report of each node. lastSeen holds when each node was last known to run, by
 	// its own report or by the previous holder's record.
-	latestReports map[string]Word
+	latestReports map[string]Report
 	lastSeen      map[string]time.Time
 	// completeAt is when all nodes that may take the lease are known: immediately if the previous
 	// holder named them, else once each has had time to report.
@@ -85,14 +85,14 @@
 // NewOutage returns the state of a node that has received no reports. Fenced is true if engines check
 // fencing numbers.
 func NewOutage(self string, fenced bool) *Outage {
-	return &Outage{self: self, fenced: fenced, latestReports: make(map[string]Word), lastSeen: make(map[string]time.Time)}
+	return &Outage{self: self, fenced: fenced, latestReports: make(map[string]Report), lastSeen: make(map[string]time.Time)}
 }
 
-// Gained records that this node has taken the lease.
-func (o *Outage) Gained(l *Lease, now time.Time) {
+// Acquired records that this node has taken the lease.
+func (o *Outage) Acquired(l *Lease, now time.Time) {
 	switch {
 	case l.fence == FirstFence:
-		o.completeAt = now.Add(FirstSettled)
+		o.completeAt = now.Add(FirstReportWait)
 	case l.former.Nodes == nil:
 		o.completeAt = now.Add(silenceLimit)
 	default:
@@ -135,17 +135,17 @@
 	return out
 }
 
-// Heard records a report of a node.
-func (o *Outage) Heard(node string, w Word) {
+// ReportReceived records a report of a node.
+func (o *Outage) ReportReceived(node string, w Report) {
 	o.latestReports[node], o.lastSeen[node] = w, w.At
 }
 
 // Failed records that a call to the store got no answer.
 func (o *Outage) Failed(now time.Time) { o.failedAt = now }
 
-// FailedLately reports whether a call to the store failed within AwayKept.
-func (o *Outage) FailedLately(now time.Time) bool {
-	return !o.failedAt.IsZero() && now.Sub(o.failedAt) <= AwayKept
+// FailedRecently reports whether a call to the store failed within AwayKept.
+func (o *Outage) FailedRecently(now time.Time) bool {
+	return !o.failedAt.IsZero() && now.Sub(o.failedAt) <= UnreachableTTL
 }
 
 // Acting records that this node acts as the holder. Decide uses it to detect that the process was suspended.
@@ -163,48 +163,48 @@
 	}
 }
 
-// Doubts reports whether this node currently gets no answer from the store, so that it must ask the
+// SuspectsStore reports whether this node currently gets no answer from the store, so that it must ask the
 // other nodes whether they do.
-func (o *Outage) Doubts(l *Lease, now time.Time) bool {
+func (o *Outage) SuspectsStore(l *Lease, now time.Time) bool {
 	return l.appendAge(now) > appendSlowAfter || !o.failedAt.IsZero() && now.Sub(o.failedAt) < failureFresh
 }
 
 // Decide returns what the holder does after its lease has expired, and the reason for the log. It has to
 // be called continuously: after a gap of more than VouchFresh the process was suspended and cannot know
 // for how long the other nodes were silent, so it steps down unless engines check fencing numbers.
-func (o *Outage) Decide(l *Lease, now time.Time) (v Verdict, why string) {
-	suspended := now.Sub(o.actedAt) > VouchFresh
+func (o *Outage) Decide(l *Lease, now time.Time) (v Decision, why string) {
+	suspended := now.Sub(o.actedAt) > ReportFresh
 	o.actedAt = now
 	switch {
 	case !l.mayOutlast(now):
-		return GiveUp, "the lease ran out long ago, or another holder is known"
-	case !o.FailedLately(now) && (o.fenced || !o.Doubts(l, now)):
-		return GiveUp, "the store answers"
+		return StepDown, "the lease ran out long ago, or another holder is known"
+	case !o.FailedRecently(now) && (o.fenced || !o.SuspectsStore(l, now)):
+		return StepDown, "the store answers"
 	case o.fenced && 2*o.following(now) >= o.followers:
-		return GoOn, "half of the nodes follow"
+		return Continue, "half of the nodes follow"
 	case o.fenced:
-		return GiveUp, "fewer than half of the nodes follow"
+		return StepDown, "fewer than half of the nodes follow"
 	case suspended:
-		return GiveUp, "this node stood still"
+		return StepDown, "this node stood still"
 	case now.Before(o.completeAt):
-		return GiveUp, "not all nodes that may take the lease are known"
+		return StepDown, "not all nodes that may take the lease are known"
 	}
 	unconfirmed := o.unconfirmed(now)
 	switch {
-	case !o.FailedLately(now):
+	case !o.FailedRecently(now):
 		unconfirmed = o.self
 	case unconfirmed == "":
 		o.confirmedAt = now
-		return GoOn, "no node reaches the store"
+		return Continue, "no node reaches the store"
 	}
 	since := l.heldUntil
 	if o.confirmedAt.After(since) {
 		since = o.confirmedAt
 	}
-	if o.Doubts(l, now) && now.Sub(since) < reportWait {
-		return Pause, unconfirmed + " has not said that it does not reach the store"
+	if o.SuspectsStore(l, now) && now.Sub(since) < reportWait {
+		return Wait, unconfirmed + " has not said that it does not reach the store"
 	}
-	return GiveUp, unconfirmed + " may have reached the store"
+	return StepDown, unconfirmed + " may have reached the store"
 }
 
 // following returns the number of nodes with a recent report.
@@ -224,7 +224,7 @@
 func (o *Outage) unconfirmed(now time.Time) string {
 	for node, at := range o.lastSeen {
 		w := o.latestReports[node]
-		confirmed := w.Stopping || w.StoreAway && now.Sub(w.At) <= VouchFresh
+		confirmed := w.Stopping || w.StoreAway && now.Sub(w.At) <= ReportFresh
 		if !confirmed && now.Sub(at) <= silenceLimit {
 			return node
 		}
--- a/core/lease/outage_test.go
+++ b/core/lease/outage_test.go
@@ -13,29 +13,29 @@
 // take the lease reports that it does not reach the store.
 func TestUnconfirmed(t *testing.T) {
 	now := at(60_000)
-	lately, longAgo := now.Add(-VouchFresh-1), now.Add(-silenceLimit-1)
-	away := Word{At: now.Add(-time.Second), StoreAway: true}
+	lately, longAgo := now.Add(-ReportFresh-1), now.Add(-silenceLimit-1)
+	away := Report{At: now.Add(-time.Second), StoreAway: true}
 	tests := []struct {
 		name    string
-		reports map[string]Word
+		reports map[string]Report
 		// named holds the nodes that only the previous holder's record names, and when they were last known.
 		named map[string]time.Time
 		want  bool
 	}{
 		{"alone", nil, nil, true},
-		{"all say so", map[string]Word{"a": away, "b": away}, nil, true},
-		{"one reaches the store", map[string]Word{"a": away, "b": {At: away.At}}, nil, false},
-		{"one is silent", map[string]Word{"a": away, "b": {At: lately, StoreAway: true}}, nil, false},
-		{"one is silent and reached the store", map[string]Word{"a": away, "b": {At: lately}}, nil, false},
-		{"one is gone", map[string]Word{"a": away, "b": {At: longAgo}}, nil, true},
-		{"one stopped", map[string]Word{"a": away, "b": {At: lately, Stopping: true}}, nil, true},
-		{"one was never heard", map[string]Word{"a": away}, map[string]time.Time{"b": lately}, false},
-		{"one was never heard, long ago", map[string]Word{"a": away}, map[string]time.Time{"b": longAgo}, true},
+		{"all say so", map[string]Report{"a": away, "b": away}, nil, true},
+		{"one reaches the store", map[string]Report{"a": away, "b": {At: away.At}}, nil, false},
+		{"one is silent", map[string]Report{"a": away, "b": {At: lately, StoreAway: true}}, nil, false},
+		{"one is silent and reached the store", map[string]Report{"a": away, "b": {At: lately}}, nil, false},
+		{"one is gone", map[string]Report{"a": away, "b": {At: longAgo}}, nil, true},
+		{"one stopped", map[string]Report{"a": away, "b": {At: lately, Stopping: true}}, nil, true},
+		{"one was never heard", map[string]Report{"a": away}, map[string]time.Time{"b": lately}, false},
+		{"one was never heard, long ago", map[string]Report{"a": away}, map[string]time.Time{"b": longAgo}, true},
 	}
 	for _, test := range tests {
 		o := NewOutage("h", false)
 		for n, w := range test.reports {
-			o.Heard(n, w)
+			o.ReportReceived(n, w)
 		}
 		maps.Copy(o.lastSeen, test.named)
 		if got := o.unconfirmed(now); (got == "") != test.want {
@@ -48,15 +48,15 @@
 // again, since its record may take effect later.
 func TestTakeoverPending(t *testing.T) {
 	l := New(rec("b"), 0)
-	l.Fold(0, rec("a"), at(0))
+	l.Apply(0, rec("a"), at(0))
 	l.CaughtUp(1, at(0))
 	l.Begin(at(3000), nil)
 	l.Failed(at(4500))
-	if !l.Trying() {
+	if !l.TakeoverPending() {
 		t.Error("after a takeover without an answer: Trying = false, want true")
 	}
 	l.CaughtUp(1, at(5000))
-	if l.Trying() {
+	if l.TakeoverPending() {
 		t.Error("after a read: Trying = true, want false")
 	}
 }
@@ -137,7 +137,7 @@
 
 func (w *outageModel) restart(i, life int) {
 	delay := time.Duration(i) * 100 * time.Millisecond
-	m := &member{Lease: New(Record{Holder: fmt.Sprint(i), Life: fmt.Sprint(life)}, delay), outage: NewOutage(fmt.Sprint(i), false)}
+	m := &member{Lease: New(Record{Holder: fmt.Sprint(i), Incarnation: fmt.Sprint(life)}, delay), outage: NewOutage(fmt.Sprint(i), false)}
 	if old := w.members[i]; old != nil {
 		m.cutOff = old.cutOff
 	}
@@ -182,7 +182,7 @@
 	r, _ := w.members[i].Holder()
 	for j, m := range w.members {
 		cut := w.partitioned[[2]int{min(i, j), max(i, j)}]
-		if j != i && m.self.SameLife(r) && m.held && w.now.After(cut) && w.now.After(m.frozen) {
+		if j != i && m.self.SameIncarnation(r) && m.held && w.now.After(cut) && w.now.After(m.frozen) {
 			return m
 		}
 	}
@@ -194,16 +194,16 @@
 	m := w.members[i]
 	h := w.holder(i)
 	if h != nil && !m.held {
-		m.heardAt, m.holderDoubts = w.now, h.outage.Doubts(h.Lease, w.now)
-		m.Succession(w.named(i, h), m.delay)
+		m.heardAt, m.holderDoubts = w.now, h.outage.SuspectsStore(h.Lease, w.now)
+		m.SetSuccession(w.named(i, h), m.delay)
 		for ; w.read[i] < int(h.End()); w.read[i]++ {
-			m.Fold(uint64(w.read[i]), w.log[w.read[i]], w.now)
+			m.Apply(uint64(w.read[i]), w.log[w.read[i]], w.now)
 		}
 	}
 	w.readTopic(i)
 	if h != nil && !m.held && w.now.After(m.reportAfter) {
-		away := !m.readFailedAt.IsZero() && w.now.Sub(m.readFailedAt) <= VouchFresh && !m.Trying()
-		h.outage.Heard(fmt.Sprint(i), Word{At: w.now, StoreAway: away})
+		away := !m.readFailedAt.IsZero() && w.now.Sub(m.readFailedAt) <= ReportFresh && !m.TakeoverPending()
+		h.outage.ReportReceived(fmt.Sprint(i), Report{At: w.now, StoreAway: away})
 		m.reportAfter = w.now.Add(modelReport)
 	}
 	w.keepLease(t, i)
@@ -237,14 +237,14 @@
 // keepLease renews or takes the lease, and decides whether to continue after it expired.
 func (w *outageModel) keepLease(t *rapid.T, i int) {
 	m := w.members[i]
-	deferring := !m.held && w.now.Sub(m.heardAt) <= modelHolderFresh && m.outage.FailedLately(w.now)
-	if !deferring && m.Wants(w.now) {
+	deferring := !m.held && w.now.Sub(m.heardAt) <= modelHolderFresh && m.outage.FailedRecently(w.now)
+	if !deferring && m.ShouldAppend(w.now) {
 		w.tryAppend(t, i)
 	}
 	_, held := m.Held(w.now)
 	switch {
 	case held && !m.held:
-		m.outage.Gained(m.Lease, w.now)
+		m.outage.Acquired(m.Lease, w.now)
 		m.orderUntil = m.Until()
 	case held:
 		m.orderUntil = m.Until()
@@ -252,8 +252,8 @@
 		m.outage.Renewed(w.now)
 	case m.held:
 		verdict, _ := m.outage.Decide(m.Lease, w.now)
-		held = verdict != GiveUp
-		if verdict == GoOn {
+		held = verdict != StepDown
+		if verdict == Continue {
 			m.orderUntil = w.now.Add(modelAwayStep)
 			w.outlasted++
 		}
@@ -293,40 +293,40 @@
 	tests := []struct {
 		name string
 		// report is the only other node's report of 100 ms ago; nil if it is silent.
-		report *Word
+		report *Report
 		// suspended is how long this node was suspended.
 		suspended time.Duration
 		// failed is how long before the decision a call to the store failed; after is the time from
 		// the end of the lease to the decision.
 		failed, after time.Duration
 		fenced        bool
-		want          Verdict
+		want          Decision
 	}{
-		{"all say that it is away", &Word{StoreAway: true}, 0, 100 * time.Millisecond, time.Second, false, GoOn},
-		{"one says nothing of it yet", &Word{}, 0, 100 * time.Millisecond, 400 * time.Millisecond, false, Pause},
-		{"one says nothing of it for long", &Word{}, 0, 100 * time.Millisecond, time.Second, false, GiveUp},
-		{"one says nothing of it, with fences", &Word{}, 0, 100 * time.Millisecond, time.Second, true, GoOn},
-		{"silence, with fences", nil, 0, 100 * time.Millisecond, time.Second, true, GiveUp},
-		{"stood still", &Word{StoreAway: true}, 2 * time.Second, 100 * time.Millisecond, time.Second, false, GiveUp},
-		{"the store answered long ago", &Word{StoreAway: true}, 0, 3 * time.Second, time.Second, false, GiveUp},
-		{"for too long", &Word{StoreAway: true}, 0, 100 * time.Millisecond, AwayLimit, false, GiveUp},
+		{"all say that it is away", &Report{StoreAway: true}, 0, 100 * time.Millisecond, time.Second, false, Continue},
+		{"one says nothing of it yet", &Report{}, 0, 100 * time.Millisecond, 400 * time.Millisecond, false, Wait},
+		{"one says nothing of it for long", &Report{}, 0, 100 * time.Millisecond, time.Second, false, StepDown},
+		{"one says nothing of it, with fences", &Report{}, 0, 100 * time.Millisecond, time.Second, true, Continue},
+		{"silence, with fences", nil, 0, 100 * time.Millisecond, time.Second, true, StepDown},
+		{"stood still", &Report{StoreAway: true}, 2 * time.Second, 100 * time.Millisecond, time.Second, false, StepDown},
+		{"the store answered long ago", &Report{StoreAway: true}, 0, 3 * time.Second, time.Second, false, StepDown},
+		{"for too long", &Report{StoreAway: true}, 0, 100 * time.Millisecond, MaxOutage, false, StepDown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := New(Record{Holder: "a", Life: "1"}, 0)
+			l := New(Record{Holder: "a", Incarnation: "1"}, 0)
 			l.CaughtUp(0, at(0))
 			l.Begin(at(0), nil)
-			l.Appended(0, at(4))
+			l.Acknowledged(0, at(4))
 			o := NewOutage("a", tt.fenced)
-			o.Heard("b", Word{At: at(4)})
-			o.Gained(l, at(4))
+			o.ReportReceived("b", Report{At: at(4)})
+			o.Acquired(l, at(4))
 			l.Begin(at(5000), nil)
-			l.Appended(1, at(5004))
-			o.Heard("b", Word{At: at(5004)})
+			l.Acknowledged(1, at(5004))
+			o.ReportReceived("b", Report{At: at(5004)})
 			o.Renewed(at(5004))
 			now := l.Until().Add(tt.after)
 			if tt.report != nil {
-				o.Heard("b", Word{At: now.Add(-100 * time.Millisecond), StoreAway: tt.report.StoreAway})
+				o.ReportReceived("b", Report{At: now.Add(-100 * time.Millisecond), StoreAway: tt.report.StoreAway})
 			}
 			o.Acting(now.Add(-tt.suspended))
 			o.Failed(now.Add(-tt.failed))
--- a/core/ledger/placement.go
+++ b/core/ledger/placement.go
@@ -18,7 +18,7 @@
 	if e.Used+bytes > e.MemoryBytes && s.enforces(GuardMemory) {
 		return NoMemory
 	}
-	if s.Queued(u.Store) >= MaxQueuedLoads {
+	if s.QueuedLoads(u.Store) >= MaxQueuedLoads {
 		return NoLoadSlot
 	}
 	// grantSlots, which runs after each record, moves the placement to Loading at
@@ -41,7 +41,7 @@
 // proposal each, however many home nodes compete.
 func (s *State) grantSlots(fence uint64) {
 	for store := range s.queued {
-		for s.Queued(store) > 0 && (s.usedSlots[store] < s.Catalog.StoreSlots[store] || !s.enforces(GuardSlots)) {
+		for s.QueuedLoads(store) > 0 && (s.usedSlots[store] < s.Catalog.StoreSlots[store] || !s.enforces(GuardSlots)) {
 			p := s.mostUrgent(store)
 			s.setPhase(p, Loading)
 			p.Fence = fence
--- a/core/ledger/property_test.go
+++ b/core/ledger/property_test.go
@@ -136,8 +136,8 @@
 		}
 	}
 	for store, n := range loading {
-		if n > s.Catalog.StoreSlots[store] || n != s.Loading(store) {
-			h.rt.Fatalf("store %s: %d placements loading, %d slots counted as used, %d slots", store, n, s.Loading(store), s.Catalog.StoreSlots[store])
+		if n > s.Catalog.StoreSlots[store] || n != s.UsedSlots(store) {
+			h.rt.Fatalf("store %s: %d placements loading, %d slots counted as used, %d slots", store, n, s.UsedSlots(store), s.Catalog.StoreSlots[store])
 		}
 	}
 }
--- a/core/ledger/state.go
+++ b/core/ledger/state.go
@@ -33,7 +33,7 @@
 // Phases of a placement. A placement in any of them counts against the replica
 // limit and the engine's memory.
 const (
-	// Loading means that the executor sends, or is about to send, the load order.
+	// UsedSlots means that the executor sends, or is about to send, the load order.
 	Loading Phase = iota + 1
 	// Ready means that the engine confirmed the load; it receives requests.
 	Ready
@@ -43,7 +43,7 @@
 	// Quarantined means that the replica was removed, but that an earlier order
 	// may still reach the engine and load it again.
 	Quarantined
-	// Queued means that the load was accepted and waits for a load slot of the
+	// QueuedLoads means that the load was accepted and waits for a load slot of the
 	// weight store.
 	Queued
 )
@@ -193,8 +193,8 @@
 	// Open holds the placements in any phase but Ready: those for which a node has
 	// still to send an order, report an outcome or end the quarantine.
 	Open map[Key]*Placement
-	// Off holds the guards that are switched off; only model checking sets it.
-	Off Guard
+	// DisabledGuards holds the guards that are switched off; only model checking sets it.
+	DisabledGuards Guard
 
 	lastSequences  map[NodeRef]lastSequence
 	appliedChanges map[string]appliedChange
@@ -219,18 +219,18 @@
 	}
 }
 
-// Loading returns the number of load slots in use at a weight store.
-func (s *State) Loading(store string) int { return s.usedSlots[store] }
+// UsedSlots returns the number of load slots in use at a weight store.
+func (s *State) UsedSlots(store string) int { return s.usedSlots[store] }
 
-// Queued returns the number of loads that wait for a load slot of a weight store.
-func (s *State) Queued(store string) int { return len(s.queued[store]) }
+// QueuedLoads returns the number of loads that wait for a load slot of a weight store.
+func (s *State) QueuedLoads(store string) int { return len(s.queued[store]) }
 
 // Find returns the placement with key k, or nil.
 func (s *State) Find(k Key) *Placement {
 	return s.Replicas[UnitVersion{k.Unit, k.Version}][k.Engine]
 }
 
-func (s *State) enforces(g Guard) bool { return s.Off&g == 0 }
+func (s *State) enforces(g Guard) bool { return s.DisabledGuards&g == 0 }
 
 // add inserts a placement into all indexes and accounts its memory.
 func (s *State) add(p *Placement) {
--- a/core/logstore/fault.go
+++ b/core/logstore/fault.go
@@ -12,9 +12,9 @@
 	// Missing means that a required field is absent, WrongType that a field has a value of the wrong type.
 	Missing   Reason = "missing"
 	WrongType Reason = "wrongType"
-	// Unnamed means that a value of the right type is invalid, such as an unknown state, a negative number
+	// Invalid means that a value of the right type is invalid, such as an unknown state, a negative number
 	// of slots or an address at which nobody can listen.
-	Unnamed Reason = "unnamed"
+	Invalid Reason = "unnamed"
 )
 
 // Fault is the error of a record that was skipped. The other records of its page are valid.
--- a/core/logstore/logstore.go
+++ b/core/logstore/logstore.go
@@ -26,15 +26,15 @@
 	Moved
 	// Dropped means that a read began before the first record that the store still keeps.
 	Dropped
-	// PutBack means that the call named a position of an earlier era, because the store was restored from a
+	// Restored means that the call named a position of an earlier era, because the store was restored from a
 	// backup since. An append may have had an effect: its record is then in the new era, marked with the old one.
-	PutBack
+	Restored
 )
 
 var kindNames = map[Kind]string{
 	Refused: "the store refused the call", NoAnswer: "the store did not answer",
 	Moved: "another record came first", Dropped: "the records asked for are no longer kept",
-	PutBack: "the store has come back from an older copy",
+	Restored: "the store has come back from an older copy",
 }
 
 // Error is a failed call to the store.
--- a/core/placement/adapters.go
+++ b/core/placement/adapters.go
@@ -82,10 +82,10 @@
 		return
 	}
 	if g.fullOfAdapters(best, unit) {
-		g.send(best, &Order{Unit: *g.adapterVictim(best), Unload: true, Why: "makes way for " + unit.Model + "/" + unit.Adapter})
+		g.send(best, &Order{Unit: *g.adapterVictim(best), Unload: true, Reason: "makes way for " + unit.Model + "/" + unit.Adapter})
 		return
 	}
-	g.send(best, &Order{Unit: unit, Expected: adapterLoadTime, Why: "requests wait"})
+	g.send(best, &Order{Unit: unit, Expected: adapterLoadTime, Reason: "requests wait"})
 }
 
 // fullOfAdapters reports whether an engine has no slot or no memory left for an adapter.
--- a/core/placement/backoff.go
+++ b/core/placement/backoff.go
@@ -33,21 +33,21 @@
 	if m.loadCrashes >= crashesBeforeBackoff {
 		backoff := min(maxBackoff, initialBackoff<<min(m.loadCrashes-crashesBeforeBackoff, 10))
 		m.backoffUntil = now.Add(backoff)
-		p.backoffs = append(p.backoffs, LoadBackoff{Unit: m.unit, Ended: m.loadCrashes, Rest: backoff})
+		p.backoffs = append(p.backoffs, LoadBackoff{Unit: m.unit, Crashes: m.loadCrashes, Backoff: backoff})
 	}
 }
 
 // LoadBackoff is a model whose loads are delayed because engines crashed under them.
 type LoadBackoff struct {
 	Unit Unit
-	// Ended counts the engines that ended in a row while they loaded the model.
-	Ended int
-	// Rest is the length of the backoff.
-	Rest time.Duration
+	// Crashes counts the engines that ended in a row while they loaded the model.
+	Crashes int
+	// Backoff is the length of the backoff.
+	Backoff time.Duration
 }
 
-// Resting returns the backoffs that began since the last call.
-func (p *Planner) Resting() []LoadBackoff {
+// LoadBackoffs returns the backoffs that began since the last call.
+func (p *Planner) LoadBackoffs() []LoadBackoff {
 	out := p.backoffs
 	p.backoffs = nil
 	return out
--- a/core/placement/backoff_test.go
+++ b/core/placement/backoff_test.go
@@ -30,13 +30,13 @@
 	p := testPlanner(t, 2, engines)
 	var loads []string
 	for ms := 100; ms < 40_000; ms += 100 {
-		p.Use("n", []Use{{Unit: unit("m0"), Waiting: 1, Arrivals: 1, Urgent: at(ms + 500), Last: at(ms + 500)}}, at(ms))
+		p.RecordUsage("n", []Usage{{Unit: unit("m0"), Waiting: 1, Arrivals: 1, NextDue: at(ms + 500), LastDue: at(ms + 500)}}, at(ms))
 		for _, a := range p.Plan(at(ms), 1) {
 			if a.Order == nil || a.Order.Unload {
 				continue
 			}
 			loads = append(loads, fmt.Sprint(ms/1000))
-			p.Replied(a.Order, Accepted, at(ms))
+			p.HandleReply(a.Order, Accepted, at(ms))
 			id := a.Order.Engine
 			for i := range alive {
 				if alive[i] == id {
@@ -56,7 +56,7 @@
 		t.Errorf("ReadyAt = %v after the start, known %t, want a minute or more", at.Sub(start), ok)
 	}
 	// Other models are not delayed.
-	p.Use("n", []Use{{Unit: unit("m1"), Waiting: 1, Arrivals: 1, Urgent: at(41_000), Last: at(41_000)}}, at(40_500))
+	p.RecordUsage("n", []Usage{{Unit: unit("m1"), Waiting: 1, Arrivals: 1, NextDue: at(41_000), LastDue: at(41_000)}}, at(40_500))
 	if diff := cmp.Diff(1, len(orders(p.Plan(at(40_500), 1)))); diff != "" {
 		t.Errorf("orders for another model (-want +got):\n%s", diff)
 	}
--- a/core/placement/bench_test.go
+++ b/core/placement/bench_test.go
@@ -73,16 +73,16 @@
 			disk = append(disk, fmt.Sprintf("m%d", (i*19+k)%models))
 		}
 		r := Report{Holdings: directory.Holdings{Models: heldList(disk[0], disk[1]), OnDisk: disk}}
-		p.Reported(entries[i].ID, &r, at(0), at(1))
+		p.HandleReport(entries[i].ID, &r, at(0), at(1))
 	}
 	for n := range nodes {
-		var uses []Use
+		var uses []Usage
 		for k := range 20 {
 			m := fmt.Sprintf("m%d", (n*7+k*13)%models)
-			uses = append(uses, Use{Unit: unit(m), Arrivals: 1, RunningAt: map[string]int{fmt.Sprintf("e%02d", (n+k)%engines): 1}})
+			uses = append(uses, Usage{Unit: unit(m), Arrivals: 1, RunningAt: map[string]int{fmt.Sprintf("e%02d", (n+k)%engines): 1}})
 		}
-		uses = append(uses, Use{Unit: unit(fmt.Sprintf("m%d", n*5)), Waiting: 1, Urgent: at(900000), Last: at(900000)})
-		p.Use(fmt.Sprintf("n%d", n), uses, at(2))
+		uses = append(uses, Usage{Unit: unit(fmt.Sprintf("m%d", n*5)), Waiting: 1, NextDue: at(900000), LastDue: at(900000)})
+		p.RecordUsage(fmt.Sprintf("n%d", n), uses, at(2))
 	}
 	return p
 }
--- a/core/placement/candidate.go
+++ b/core/placement/candidate.go
@@ -146,11 +146,11 @@
 		c.engine.reserved = unit
 		g.addPendingReplica(unit, c.ready)
 		g.send(c.engine, &Order{
-			Unit: Unit{Service: unit.Service, Model: c.victims[0]}, Unload: true, Expected: unloadTime, Why: "makes way for " + unit.Model,
+			Unit: Unit{Service: unit.Service, Model: c.victims[0]}, Unload: true, Expected: unloadTime, Reason: "makes way for " + unit.Model,
 		})
 		return
 	}
-	g.send(c.engine, &Order{Unit: unit, FromStore: c.fromStore, Expected: c.load, Why: why})
+	g.send(c.engine, &Order{Unit: unit, FromStore: c.fromStore, Expected: c.load, Reason: why})
 }
 
 // candidate returns how an engine could load a model; ok is false if it cannot. urgent allows
--- a/core/placement/capacity_test.go
+++ b/core/placement/capacity_test.go
@@ -60,14 +60,14 @@
 	p.SetTable(table)
 	p.SetEngines([]*directory.Entry{entry("e1")}, at(0))
 	p.Plan(at(0), 1)
-	p.Reported("e1", &Report{Holdings: directory.Holdings{Models: heldList("a", "b", "c"), OnDisk: []string{"a", "b", "c", "big"}}}, at(0), at(1))
-	p.Use("n", []Use{waitingUse(unit("big"), 2000)}, at(2))
+	p.HandleReport("e1", &Report{Holdings: directory.Holdings{Models: heldList("a", "b", "c"), OnDisk: []string{"a", "b", "c", "big"}}}, at(0), at(1))
+	p.RecordUsage("n", []Usage{waitingUse(unit("big"), 2000)}, at(2))
 	var got []orderSummary
 	for ms := 3; ms < 1500; ms += 10 {
 		for _, a := range p.Plan(at(ms), 1) {
 			if a.Order != nil {
 				got = append(got, orders([]Action{a})...)
-				p.Replied(a.Order, Accepted, at(ms))
+				p.HandleReply(a.Order, Accepted, at(ms))
 			}
 		}
 	}
@@ -89,13 +89,13 @@
 		"e1": {Holdings: directory.Holdings{OnDisk: []string{"m0", "m1", "m2", "m3"}}},
 		"e2": {},
 	})
-	p.Use("n", []Use{waitingUse(unit("m0"), 2000)}, at(10))
+	p.RecordUsage("n", []Usage{waitingUse(unit("m0"), 2000)}, at(10))
 	first := p.Plan(at(10), 1)
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m0", false, false}}, orders(first)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
 	}
-	p.Replied(first[0].Order, Accepted, at(12))
-	p.Use("n", []Use{waitingUse(unit("m0"), 2000), waitingUse(unit("m1"), 2000)}, at(20))
+	p.HandleReply(first[0].Order, Accepted, at(12))
+	p.RecordUsage("n", []Usage{waitingUse(unit("m0"), 2000), waitingUse(unit("m1"), 2000)}, at(20))
 	if got := orders(p.Plan(at(20), 1)); got != nil {
 		t.Errorf("orders while the engine with the copy is busy: %v, want none", got)
 	}
--- a/core/placement/copyset_test.go
+++ b/core/placement/copyset_test.go
@@ -60,7 +60,7 @@
 		// The other model of these engines is too young to be evicted.
 		e.models["m1"] = newHeldModel(at(3000))
 	}
-	p.Use("n", []Use{
+	p.RecordUsage("n", []Usage{
 		{Unit: unit("m0"), Arrivals: 60, RunningAt: map[string]int{"e2": 9}},
 		{Unit: unit("m1"), Arrivals: 1, RunningAt: map[string]int{"e1": 1, "e2": 1}},
 		waitingUse(unit("m2"), 5500),
@@ -79,10 +79,10 @@
 		"e1": {Holdings: directory.Holdings{Models: heldList("m0", "m1"), OnDisk: []string{"m0", "m1", "m2"}}},
 	})
 	busy := func(ms int) {
-		p.Use("n", []Use{
+		p.RecordUsage("n", []Usage{
 			{Unit: unit("m0"), Arrivals: 10, Objective: 300 * time.Millisecond, RunningAt: map[string]int{"e1": 3}},
 			// A model loaded for a request stays until the request has run.
-			{Unit: unit("m1"), Waiting: 1, Arrivals: 1, Objective: 2 * time.Second, Urgent: at(ms + 500), Last: at(ms + 500)},
+			{Unit: unit("m1"), Waiting: 1, Arrivals: 1, Objective: 2 * time.Second, NextDue: at(ms + 500), LastDue: at(ms + 500)},
 			waitingUse(unit("m2"), ms+2000),
 		}, at(ms))
 	}
--- a/core/placement/doc.go
+++ b/core/placement/doc.go
@@ -6,8 +6,8 @@
 // order may never learn its outcome.
 //
 // The node that holds the placement lease keeps a [Planner]. Its controller passes in the live
-// engines ([Planner.SetEngines]), the usage reports of all nodes ([Planner.Use]), and the
-// replies and reports of the engines ([Planner.Replied], [Planner.Reported]); [Planner.Plan]
+// engines ([Planner.SetEngines]), the usage reports of all nodes ([Planner.RecordUsage]), and the
+// replies and reports of the engines ([Planner.HandleReply], [Planner.HandleReport]); [Planner.Plan]
 // returns the orders and probes that are due. The package does no I/O and reads no clock: the
 // caller passes the time to every method.
 //
--- a/core/placement/engine.go
+++ b/core/placement/engine.go
@@ -211,9 +211,9 @@
 
 // stats returns the engine's state for the log of an order.
 func (e *engine) stats(t *route.Table, now time.Time) EngineStats {
-	b := EngineStats{Phase: e.phase().String(), FreeMB: e.freeMB(t), Models: len(e.models), Adapters: e.adapters(), Age: -1}
+	b := EngineStats{Phase: e.phase().String(), FreeMB: e.freeMB(t), Models: len(e.models), Adapters: e.adapters(), ReportAge: -1}
 	if !e.reportedAt.IsZero() {
-		b.Age = now.Sub(e.reportedAt)
+		b.ReportAge = now.Sub(e.reportedAt)
 	}
 	if w := e.unconfirmed; w != nil {
 		b.Unconfirmed = w.String()
@@ -268,7 +268,7 @@
 			h = newHeldModel(now)
 			e.models[reported.Model] = h
 		}
-		e.applyAdapters(h, reported, r.Coming, now)
+		e.applyAdapters(h, reported, r.LoadingAdapters, now)
 	}
 	warm, onDisk := e.warm.sync(r.Warm), e.onDisk.sync(r.OnDisk)
 	e.copiesChanged = e.copiesChanged || warm || onDisk
--- a/core/placement/fake_test.go
+++ b/core/placement/fake_test.go
@@ -91,7 +91,7 @@
 		h := directory.Held{Model: m}
 		for name, a := range adapters {
 			if now.Before(a.readyAt) {
-				r.Coming = append(r.Coming, directory.Held{Model: m, Adapters: []string{name}})
+				r.LoadingAdapters = append(r.LoadingAdapters, directory.Held{Model: m, Adapters: []string{name}})
 			} else {
 				h.Adapters = append(h.Adapters, name)
 			}
@@ -108,24 +108,24 @@
 func (f *fakeFleet) probe(h *holder, p *Probe) {
 	e := f.engines[p.Engine]
 	if e == nil {
-		h.p.ProbeFailed(p.Engine, f.now)
+		h.p.HandleProbeFailure(p.Engine, f.now)
 		return
 	}
 	for i := len(e.reports) - 1; i >= 0; i-- {
 		if f.now.Sub(e.reports[i].at) >= 200*time.Millisecond || i == 0 {
 			f.logf("%s: report of %v to %d: %+v", e.id, e.reports[i].at.Sub(start), h.fence, e.reports[i].r)
-			h.p.Reported(p.Engine, &e.reports[i].r, f.now, f.now)
+			h.p.HandleReport(p.Engine, &e.reports[i].r, f.now, f.now)
 			return
 		}
 	}
-	h.p.ProbeFailed(p.Engine, f.now)
+	h.p.HandleProbeFailure(p.Engine, f.now)
 }
 
 // order delivers an order to its engine and logs the reply.
 func (f *fakeFleet) order(e *fakeEngine, o *Order) Reply {
 	before := e.taken
 	r := f.take(e, o)
-	f.logf("%s: order %v unload=%v fence %d at %d, engine at %d: %v; %s", o.Engine, o.Unit, o.Unload, o.Fence, o.Taken, before, r, o.Why)
+	f.logf("%s: order %v unload=%v fence %d at %d, engine at %d: %v; %s", o.Engine, o.Unit, o.Unload, o.Fence, o.Taken, before, r, o.Reason)
 	return r
 }
 
@@ -145,7 +145,7 @@
 		return f.takeAdapter(e, o)
 	}
 	if _, held := e.models[o.Unit.Model]; held != o.Unload {
-		return Holds
+		return NothingToDo
 	}
 	if used := f.used(e) + 100; !o.Unload && used > f.config.WeightsMB {
 		f.t.Fatalf("seed %d: at %v an order would load %s at %s, which needs %v MB of %v", f.seed, f.now.Sub(start), o.Unit.Model, e.id, used, f.config.WeightsMB)
@@ -181,10 +181,10 @@
 func (f *fakeFleet) takeAdapter(e *fakeEngine, o *Order) Reply {
 	adapters, held := e.models[o.Unit.Model]
 	if !held {
-		return Gone
+		return WrongEngine
 	}
 	if _, there := adapters[o.Unit.Adapter]; there != o.Unload {
-		return Holds
+		return NothingToDo
 	}
 	e.taken++
 	switch {
@@ -195,7 +195,7 @@
 		return Accepted
 	default:
 		delete(adapters, o.Unit.Adapter)
-		return Holds
+		return NothingToDo
 	}
 	slow := pick[time.Duration](f, 5, 5, 70, 900)
 	adapters[o.Unit.Adapter] = fakeAdapter{readyAt: f.now.Add(slow * time.Millisecond)}
--- a/core/placement/limits.go
+++ b/core/placement/limits.go
@@ -2,9 +2,9 @@
 
 import "olivetiller/core/directory"
 
-// SetLimits sets the request limit of each engine, in requests a second, from a function that
+// SetRateLimits sets the request limit of each engine, in requests a second, from a function that
 // returns 0 for an engine without one.
-func (p *Planner) SetLimits(of func(engine string, start directory.Start) float64) {
+func (p *Planner) SetRateLimits(of func(engine string, start directory.Start) float64) {
 	for _, e := range p.engineList {
 		e.rateLimit = of(e.id, e.start)
 	}
--- a/core/placement/limits_test.go
+++ b/core/placement/limits_test.go
@@ -31,8 +31,8 @@
 				"e1": {Holdings: directory.Holdings{Models: heldList("m0"), OnDisk: []string{"m1", "m2"}}},
 				"e2": {Holdings: directory.Holdings{OnDisk: []string{"m0", "m1"}}},
 			})
-			p.SetLimits(func(engine string, _ directory.Start) float64 { return tt.limits[engine] })
-			p.Use("n", []Use{{Unit: tt.use, Waiting: 1, Arrivals: tt.arrivals, Urgent: at(2000), Last: at(2000)}}, at(10))
+			p.SetRateLimits(func(engine string, _ directory.Start) float64 { return tt.limits[engine] })
+			p.RecordUsage("n", []Usage{{Unit: tt.use, Waiting: 1, Arrivals: tt.arrivals, NextDue: at(2000), LastDue: at(2000)}}, at(10))
 			if diff := cmp.Diff(tt.want, orders(p.Plan(at(10), 1))); diff != "" {
 				t.Errorf("orders (-want +got):\n%s", diff)
 			}
@@ -48,14 +48,14 @@
 	tests := []struct {
 		name   string
 		limits map[string]float64
-		use    Use
+		use    Usage
 		want   []orderSummary
 	}{
-		{"no limit", nil, Use{Waiting: 1}, nil},
-		{"a limit below the demand", map[string]float64{"e1": 1}, Use{Waiting: 1}, []orderSummary{{"e2", "unit/s/m0/a1", false, false}}},
-		{"a limit above the demand", map[string]float64{"e1": 9}, Use{Waiting: 1}, nil},
-		{"callers sent away", map[string]float64{"e1": 1}, Use{SentAway: 1}, []orderSummary{{"e2", "unit/s/m0/a1", false, false}}},
-		{"all are limited", map[string]float64{"e1": 1, "e2": 1}, Use{Waiting: 1}, nil},
+		{"no limit", nil, Usage{Waiting: 1}, nil},
+		{"a limit below the demand", map[string]float64{"e1": 1}, Usage{Waiting: 1}, []orderSummary{{"e2", "unit/s/m0/a1", false, false}}},
+		{"a limit above the demand", map[string]float64{"e1": 9}, Usage{Waiting: 1}, nil},
+		{"callers sent away", map[string]float64{"e1": 1}, Usage{Deferred: 1}, []orderSummary{{"e2", "unit/s/m0/a1", false, false}}},
+		{"all are limited", map[string]float64{"e1": 1, "e2": 1}, Usage{Waiting: 1}, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -63,13 +63,13 @@
 				"e1": {Holdings: directory.Holdings{Models: []directory.Held{{Model: "m0", Adapters: []string{"a1"}}}, OnDisk: []string{"m1"}}},
 				"e2": {Holdings: directory.Holdings{Models: heldList("m0", "m1")}},
 			})
-			p.SetLimits(func(engine string, _ directory.Start) float64 { return tt.limits[engine] })
+			p.SetRateLimits(func(engine string, _ directory.Start) float64 { return tt.limits[engine] })
 			use := tt.use
 			use.Unit, use.Arrivals = adapter, 30
 			if use.Waiting > 0 {
-				use.Urgent, use.Last = at(2000), at(2000)
+				use.NextDue, use.LastDue = at(2000), at(2000)
 			}
-			p.Use("n", []Use{use}, at(10))
+			p.RecordUsage("n", []Usage{use}, at(10))
 			if diff := cmp.Diff(tt.want, orders(p.Plan(at(10), 1))); diff != "" {
 				t.Errorf("orders (-want +got):\n%s", diff)
 			}
--- a/core/placement/order.go
+++ b/core/placement/order.go
@@ -18,11 +18,11 @@
 	// Taken is the number of orders that the engine must have taken before this one; an engine
 	// with another count refuses the order.
 	Taken int64
-	// Why is the reason for the order, Facts the statistics of its model, and Books what the
+	// Reason is the reason for the order, Facts the statistics of its model, and Books what the
 	// planner knew of the engine when it decided; all three are for logs only.
-	Why   string
-	Facts ModelStats
-	Books EngineStats
+	Reason      string
+	ModelStats  ModelStats
+	EngineStats EngineStats
 	// FromStore is true when no copy is known at the engine, so that the weights come from the
 	// weight store.
 	FromStore bool
@@ -54,8 +54,8 @@
 	Models, Adapters int
 	// Phase is the phase of the engine: doubtful, settled, working or unconfirmed.
 	Phase string
-	// Age is the time since the engine's report was last accepted; negative if none was.
-	Age time.Duration
+	// ReportAge is the time since the engine's report was last accepted; negative if none was.
+	ReportAge time.Duration
 	// Unconfirmed names the load or unload that is assumed to have ended but that no reply or
 	// report has confirmed; empty if there is none.
 	Unconfirmed string
@@ -68,24 +68,24 @@
 const (
 	// Accepted means that the engine is carrying out the order.
 	Accepted Reply = iota + 1
-	// Holds means that the engine already was in the state that the order asks for.
-	Holds
+	// NothingToDo means that the engine already was in the state that the order asks for.
+	NothingToDo
 	// Conflict means that the engine is busy with another order or that its count of orders
 	// differs from Order.Taken.
 	Conflict
 	// Fenced means that the engine has seen a higher fencing number.
 	Fenced
-	// Gone means that another engine answers at the address.
-	Gone
+	// WrongEngine means that another engine answers at the address.
+	WrongEngine
 	// Invalid means that the engine does not understand the order.
 	Invalid
-	// Lost means that no answer came; the engine may have taken the order or may still take it
+	// Unanswered means that no answer came; the engine may have taken the order or may still take it
 	// later.
-	Lost
+	Unanswered
 )
 
 var replyNames = map[Reply]string{
-	Accepted: "accepted", Holds: "holds", Conflict: "conflict", Fenced: "fenced", Gone: "gone", Invalid: "invalid", Lost: "lost",
+	Accepted: "accepted", NothingToDo: "holds", Conflict: "conflict", Fenced: "fenced", WrongEngine: "gone", Invalid: "invalid", Unanswered: "lost",
 }
 
 // String implements fmt.Stringer.
@@ -111,12 +111,12 @@
 	Taken int64
 	// Busy is true while the engine carries out an order.
 	Busy bool
-	// Coming lists the adapters being loaded, one entry per adapter with the name of its model.
-	Coming []directory.Held
+	// LoadingAdapters lists the adapters being loaded, one entry per adapter with the name of its model.
+	LoadingAdapters []directory.Held
 	// Running and Waiting count the requests at the engine.
 	Running, Waiting int
 	// Said holds the signals in the header of the response, such as the engine's request limit.
-	Said signal.Said
+	Said signal.Signals
 	directory.Holdings
 }
 
@@ -129,20 +129,20 @@
 	return n
 }
 
-// Use is one node's usage report for one unit.
-type Use struct {
+// Usage is one node's usage report for one unit.
+type Usage struct {
 	Unit    Unit
 	Waiting int
 	// Arrivals counts the requests that arrived since the node's previous report.
 	Arrivals int
-	// SentAway counts the callers refused with a retry hint since the node's previous report.
-	SentAway int
+	// Deferred counts the callers refused with a retry hint since the node's previous report.
+	Deferred int
 	// Objective is the least latency objective among the arrivals; 0 if none has one.
 	Objective time.Duration
-	// Urgent is the next deadline by which a waiting request needs an engine, or a past
+	// NextDue is the next deadline by which a waiting request needs an engine, or a past
 	// deadline if all have passed. Last is the latest deadline. Both are zero if no request
 	// waits.
-	Urgent, Last time.Time
+	NextDue, LastDue time.Time
 	// RunningAt counts the running requests by engine id.
 	RunningAt map[string]int
 }
--- a/core/placement/overcommit_test.go
+++ b/core/placement/overcommit_test.go
@@ -27,8 +27,8 @@
 	}}})
 	addWaiting(p, "m2", 10)
 	load := onlyOrder(t, p, 10)
-	p.Replied(load, Accepted, at(20))
-	p.Use("n", nil, at(1300))
+	p.HandleReply(load, Accepted, at(20))
+	p.RecordUsage("n", nil, at(1300))
 	addWaiting(p, "m6", 1400)
 	var next *Order
 	probed := false
@@ -41,8 +41,8 @@
 	if !probed || next == nil || !next.Unload {
 		t.Fatalf("at 1400 ms: a probe %v and order %+v, want both, and an unload", probed, next)
 	}
-	p.Reported("e", &Report{Taken: 1, Busy: true, Holdings: directory.Holdings{Models: []directory.Held{{Model: "m3"}}}}, at(1400), at(1405))
-	p.Replied(next, Accepted, at(1410))
+	p.HandleReport("e", &Report{Taken: 1, Busy: true, Holdings: directory.Holdings{Models: []directory.Held{{Model: "m3"}}}}, at(1400), at(1405))
+	p.HandleReply(next, Accepted, at(1410))
 	left := map[string]string{"m2": "m3", "m3": "m2"}[next.Unit.Model]
 	var got []string
 	for _, u := range p.Serving(at(1420))["e"] {
@@ -70,17 +70,17 @@
 	}}})
 	addWaiting(p, "m5", 10)
 	late := onlyOrder(t, p, 10)
-	p.Replied(late, Lost, at(20))
-	p.Use("n", nil, at(30))
+	p.HandleReply(late, Unanswered, at(20))
+	p.RecordUsage("n", nil, at(30))
 	en := entry("e")
 	en.Start = 2000
 	p.SetEngines([]*directory.Entry{en}, at(600))
 	p.Plan(at(1100), 1)
-	p.Reported("e", &Report{Start: 2000, Holdings: directory.Holdings{OnDisk: allModels}}, at(1100), at(1101))
+	p.HandleReport("e", &Report{Start: 2000, Holdings: directory.Holdings{OnDisk: allModels}}, at(1100), at(1101))
 	addWaiting(p, "m1", 1200)
 	first := onlyOrder(t, p, 1200)
-	p.Replied(first, Accepted, at(1201))
-	p.Use("n", nil, at(2200))
+	p.HandleReply(first, Accepted, at(1201))
+	p.RecordUsage("n", nil, at(2200))
 	if diff := cmp.Diff(int64(0), first.Taken); diff != "" {
 		t.Fatalf("count of the first order to the new start (-want +got):\n%s", diff)
 	}
@@ -105,7 +105,7 @@
 // addWaiting makes a request wait for a model, with a deadline an hour away.
 func addWaiting(p *Planner, model string, ms int) {
 	due := at(ms + int(time.Hour.Milliseconds()))
-	p.Use("n", []Use{{Unit: unit(model), Waiting: 1, Arrivals: 1, Urgent: due, Last: due}}, at(ms))
+	p.RecordUsage("n", []Usage{{Unit: unit(model), Waiting: 1, Arrivals: 1, NextDue: due, LastDue: due}}, at(ms))
 }
 
 // onlyOrder returns the only order of a plan.
@@ -130,10 +130,10 @@
 	p := testPlanner(t, 3, map[string]Report{"e": {Taken: 3, Holdings: directory.Holdings{Models: []directory.Held{{Model: "m0"}}, OnDisk: allModels}}})
 	u := Unit{Service: "s", Model: "m0", Adapter: "a1"}
 	due := at(int(time.Hour.Milliseconds()))
-	p.Use("n", []Use{{Unit: u, Waiting: 1, Arrivals: 1, Urgent: due, Last: due}}, at(10))
+	p.RecordUsage("n", []Usage{{Unit: u, Waiting: 1, Arrivals: 1, NextDue: due, LastDue: due}}, at(10))
 	o := onlyOrder(t, p, 10)
-	p.Reported("e", &Report{Taken: 4, Holdings: directory.Holdings{Models: []directory.Held{{Model: "m0", Adapters: []string{"a1"}}}, OnDisk: allModels}}, at(400), at(405))
-	p.Replied(o, Accepted, at(410))
+	p.HandleReport("e", &Report{Taken: 4, Holdings: directory.Holdings{Models: []directory.Held{{Model: "m0", Adapters: []string{"a1"}}}, OnDisk: allModels}}, at(400), at(405))
+	p.HandleReply(o, Accepted, at(410))
 	if diff := cmp.Diff(int64(4), p.engines["e"].taken); diff != "" {
 		t.Errorf("orders taken (-want +got):\n%s", diff)
 	}
--- a/core/placement/phase_test.go
+++ b/core/placement/phase_test.go
@@ -112,13 +112,13 @@
 // applyEvent delivers the event to the planner.
 func (c *phaseCase) applyEvent(p *Planner, e *engine) {
 	now := at(2000)
-	replies := map[string]Reply{"accepted": Accepted, "holds": Holds, "conflict": Conflict, "lost": Lost}
+	replies := map[string]Reply{"accepted": Accepted, "holds": NothingToDo, "conflict": Conflict, "lost": Unanswered}
 	if r, ok := replies[c.event]; ok {
-		p.Replied(e.pending, r, now)
+		p.HandleReply(e.pending, r, now)
 		return
 	}
 	report := func(taken int64, busy bool, askedMs int) {
-		p.Reported("e", &Report{Start: 1, Taken: taken, Busy: busy, Holdings: directory.Holdings{Models: []directory.Held{{Model: "m0", Adapters: []string{"a1"}}}}}, at(askedMs), now)
+		p.HandleReport("e", &Report{Start: 1, Taken: taken, Busy: busy, Holdings: directory.Holdings{Models: []directory.Held{{Model: "m0", Adapters: []string{"a1"}}}}}, at(askedMs), now)
 	}
 	switch c.event {
 	case "report 3 settled":
@@ -134,11 +134,11 @@
 	case "old report 3 busy":
 		report(3, true, 450)
 	case "lacks m0":
-		p.Missing("e", now)
+		p.HandleMissing("e", now)
 	case "clock":
 		p.endDueWork(now)
 	case "new start":
-		p.Reported("e", &Report{Start: 2}, at(1990), now)
+		p.HandleReport("e", &Report{Start: 2}, at(1990), now)
 	case "new holder":
 		p.Reset(false, now)
 	}
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -59,7 +59,7 @@
 	p.SetEngines(entries, at(0))
 	p.Plan(at(0), 1)
 	for id, r := range engines {
-		p.Reported(id, &r, at(0), at(1))
+		p.HandleReport(id, &r, at(0), at(1))
 	}
 	return p
 }
@@ -89,8 +89,8 @@
 	return out
 }
 
-func waitingUse(u Unit, ms int) Use {
-	return Use{Unit: u, Waiting: 1, Arrivals: 1, Urgent: at(ms), Last: at(ms)}
+func waitingUse(u Unit, ms int) Usage {
+	return Usage{Unit: u, Waiting: 1, Arrivals: 1, NextDue: at(ms), LastDue: at(ms)}
 }
 
 // TestPlan checks which orders a plan gives for waiting requests.
@@ -101,7 +101,7 @@
 	tests := []struct {
 		name    string
 		engines map[string]Report
-		use     []Use
+		use     []Usage
 		want    []orderSummary
 	}{
 		{
@@ -110,7 +110,7 @@
 				"e1": {Holdings: directory.Holdings{Models: heldList("m0", "m2"), OnDisk: []string{"m1"}}},
 				"e2": {Holdings: directory.Holdings{Models: heldList("m3", "m4")}},
 			},
-			[]Use{waitingUse(unit("m1"), 500)},
+			[]Usage{waitingUse(unit("m1"), 500)},
 			[]orderSummary{{"e1", "unit/s/m0", true, false}},
 		},
 		{
@@ -119,13 +119,13 @@
 				"e1": {Holdings: directory.Holdings{OnDisk: everything}},
 				"e2": {Holdings: directory.Holdings{Warm: []string{"m1"}}},
 			},
-			[]Use{waitingUse(unit("m1"), 500)},
+			[]Usage{waitingUse(unit("m1"), 500)},
 			[]orderSummary{{"e2", "unit/s/m1", false, false}},
 		},
 		{
 			"nothing while a replica serves",
 			map[string]Report{"e1": {Holdings: directory.Holdings{Models: heldList("m1"), OnDisk: everything}}},
-			[]Use{waitingUse(unit("m1"), 500)},
+			[]Usage{waitingUse(unit("m1"), 500)},
 			nil,
 		},
 		{
@@ -134,26 +134,26 @@
 				"e1": {Holdings: directory.Holdings{Models: heldList("m0", "m2")}},
 				"e2": {Holdings: directory.Holdings{Models: heldList("m1", "m2"), OnDisk: []string{"m3", "m4"}}},
 			},
-			[]Use{waitingUse(a3, 500)},
+			[]Usage{waitingUse(a3, 500)},
 			[]orderSummary{{"e1", "unit/s/m0/a3", false, false}},
 		},
 		{
 			"an adapter makes way",
 			map[string]Report{"e1": full},
-			[]Use{waitingUse(a3, 500)},
+			[]Usage{waitingUse(a3, 500)},
 			[]orderSummary{{"e1", "unit/s/m0/a1", true, false}},
 		},
 		{
 			"no order to an engine that did not report",
 			map[string]Report{},
-			[]Use{waitingUse(unit("m1"), 500)},
+			[]Usage{waitingUse(unit("m1"), 500)},
 			nil,
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			p := testPlanner(t, 5, tt.engines)
-			p.Use("n", tt.use, at(10))
+			p.RecordUsage("n", tt.use, at(10))
 			if diff := cmp.Diff(tt.want, orders(p.Plan(at(10), 1))); diff != "" {
 				t.Errorf("orders (-want +got):\n%s", diff)
 			}
@@ -170,14 +170,14 @@
 		"e1": {Holdings: directory.Holdings{Models: heldList("m0", "m1")}},
 		"e2": {}, "e3": {}, "e4": {}, "e5": {}, "e6": {}, "e7": {}, "e8": {},
 	})
-	use := []Use{
+	use := []Usage{
 		{Unit: unit("m0"), Arrivals: 60, RunningAt: map[string]int{"e1": 4}},
 		{Unit: unit("m1"), Arrivals: 50, RunningAt: map[string]int{"e1": 4}},
 	}
 	for i := 2; i < 9; i++ {
 		use = append(use, waitingUse(unit(fmt.Sprintf("m%d", i)), 10))
 	}
-	p.Use("n", use, at(10))
+	p.RecordUsage("n", use, at(10))
 	got := orders(p.Plan(at(10), 1))
 	if len(got) < 2 {
 		t.Fatalf("orders: %v, want two or more", got)
@@ -194,18 +194,18 @@
 func TestInTimeFirst(t *testing.T) {
 	tests := []struct {
 		name string
-		use  []Use
+		use  []Usage
 		want string
 	}{
-		{"in time first", []Use{waitingUse(unit("m1"), 100), waitingUse(unit("m2"), 2500)}, "unit/s/m2"},
-		{"one of two can be in time", []Use{{Unit: unit("m1"), Waiting: 2, Arrivals: 2, Urgent: at(100), Last: at(2400)}, waitingUse(unit("m2"), 2500)}, "unit/s/m1"},
-		{"all late, in their order", []Use{waitingUse(unit("m1"), 200), waitingUse(unit("m2"), 100)}, "unit/s/m2"},
-		{"busy first", []Use{{Unit: unit("m1"), Waiting: 9, Arrivals: 9, Urgent: at(100), Last: at(400)}, waitingUse(unit("m2"), 2500)}, "unit/s/m1"},
+		{"in time first", []Usage{waitingUse(unit("m1"), 100), waitingUse(unit("m2"), 2500)}, "unit/s/m2"},
+		{"one of two can be in time", []Usage{{Unit: unit("m1"), Waiting: 2, Arrivals: 2, NextDue: at(100), LastDue: at(2400)}, waitingUse(unit("m2"), 2500)}, "unit/s/m1"},
+		{"all late, in their order", []Usage{waitingUse(unit("m1"), 200), waitingUse(unit("m2"), 100)}, "unit/s/m2"},
+		{"busy first", []Usage{{Unit: unit("m1"), Waiting: 9, Arrivals: 9, NextDue: at(100), LastDue: at(400)}, waitingUse(unit("m2"), 2500)}, "unit/s/m1"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			p := testPlanner(t, 5, map[string]Report{"e1": {Holdings: directory.Holdings{Models: heldList("m0"), OnDisk: []string{"m1", "m2"}}}})
-			p.Use("n", tt.use, at(10))
+			p.RecordUsage("n", tt.use, at(10))
 			got := orders(p.Plan(at(10), 1))
 			if diff := cmp.Diff([]orderSummary{{"e1", tt.want, false, false}}, got); diff != "" {
 				t.Errorf("orders (-want +got):\n%s", diff)
@@ -221,14 +221,14 @@
 // and that a model that must queue for the store has an expected ready time.
 func TestDeferredCallers(t *testing.T) {
 	p := testPlanner(t, 30, map[string]Report{"e1": {}})
-	p.Use("n", []Use{waitingUse(unit("m7"), 10), waitingUse(unit("m8"), 20)}, at(10))
+	p.RecordUsage("n", []Usage{waitingUse(unit("m7"), 10), waitingUse(unit("m8"), 20)}, at(10))
 	p.Plan(at(10), 1)
 	if got := p.ReadyAt()[unit("m8")]; !got.After(at(6000)) {
 		t.Errorf("m8 is expected %v after the start, want more than the load before it", got.Sub(start))
 	}
 	q := testPlanner(t, 30, map[string]Report{"e1": {Holdings: directory.Holdings{OnDisk: []string{"m8"}}}})
-	q.Use("n", []Use{{Unit: unit("m8"), Arrivals: 1, SentAway: 1}, {Unit: unit("m9"), Arrivals: 1}}, at(10))
-	q.Use("n", nil, at(11))
+	q.RecordUsage("n", []Usage{{Unit: unit("m8"), Arrivals: 1, Deferred: 1}, {Unit: unit("m9"), Arrivals: 1}}, at(10))
+	q.RecordUsage("n", nil, at(11))
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m8", false, false}}, orders(q.Plan(at(12), 1))); diff != "" {
 		t.Errorf("orders for a caller refused with a retry hint (-want +got):\n%s", diff)
 	}
@@ -238,20 +238,20 @@
 // report requested after that, and that the next order names the count in this report.
 func TestLostOrder(t *testing.T) {
 	p := testPlanner(t, 2, map[string]Report{"e1": {Taken: 4, Holdings: directory.Holdings{OnDisk: []string{"m0", "m1"}}}})
-	p.Use("n", []Use{waitingUse(unit("m1"), 500)}, at(10))
+	p.RecordUsage("n", []Usage{waitingUse(unit("m1"), 500)}, at(10))
 	actions := p.Plan(at(10), 1)
 	if len(actions) != 1 || actions[0].Order == nil || actions[0].Order.Taken != 4 {
 		t.Fatalf("Plan = %v, want one order after 4 taken", actions)
 	}
-	p.Replied(actions[0].Order, Lost, at(1010))
+	p.HandleReply(actions[0].Order, Unanswered, at(1010))
 	if got := orders(p.Plan(at(1020), 1)); got != nil {
 		t.Errorf("orders to an engine of unknown state: %v", got)
 	}
-	p.Reported("e1", &Report{Taken: 4}, at(900), at(1030))
+	p.HandleReport("e1", &Report{Taken: 4}, at(900), at(1030))
 	if got := orders(p.Plan(at(1040), 1)); got != nil {
 		t.Errorf("orders after a report from before the lost reply: %v", got)
 	}
-	p.Reported("e1", &Report{Taken: 5, Holdings: directory.Holdings{Models: heldList("m1")}}, at(1450), at(1460))
+	p.HandleReport("e1", &Report{Taken: 5, Holdings: directory.Holdings{Models: heldList("m1")}}, at(1450), at(1460))
 	if diff := cmp.Diff(map[string][]Unit{"e1": {unit("m1")}}, p.Serving(at(1470))); diff != "" {
 		t.Errorf("Serving (-want +got):\n%s", diff)
 	}
@@ -261,10 +261,10 @@
 // that order.
 func TestStaleReport(t *testing.T) {
 	p := testPlanner(t, 2, map[string]Report{"e1": {Holdings: directory.Holdings{OnDisk: []string{"m0", "m1"}}}})
-	p.Use("n", []Use{waitingUse(unit("m1"), 500)}, at(10))
+	p.RecordUsage("n", []Usage{waitingUse(unit("m1"), 500)}, at(10))
 	actions := p.Plan(at(10), 1)
-	p.Replied(actions[0].Order, Accepted, at(12))
-	p.Reported("e1", &Report{Taken: 0}, at(13), at(15))
+	p.HandleReply(actions[0].Order, Accepted, at(12))
+	p.HandleReport("e1", &Report{Taken: 0}, at(13), at(15))
 	if p.ReadyAt(); len(orders(p.Plan(at(20), 1))) != 0 {
 		t.Error("a second order while the first is in progress")
 	}
@@ -278,18 +278,18 @@
 func TestReset(t *testing.T) {
 	p := testPlanner(t, 30, map[string]Report{"e1": {}, "e2": {}})
 	p.Reset(false, at(100))
-	p.Use("n", []Use{waitingUse(unit("m1"), 500), waitingUse(unit("m2"), 500)}, at(110))
+	p.RecordUsage("n", []Usage{waitingUse(unit("m1"), 500), waitingUse(unit("m2"), 500)}, at(110))
 	if got := orders(p.Plan(at(110), 2)); got != nil {
 		t.Errorf("orders before any report: %v", got)
 	}
 	for _, id := range []string{"e1", "e2"} {
-		p.Reported(id, &Report{}, at(110), at(120))
+		p.HandleReport(id, &Report{}, at(110), at(120))
 	}
 	if got := len(orders(p.Plan(at(130), 2))); got != 1 {
 		t.Errorf("%d loads from the store right after a change of lease holder, want 1", got)
 	}
 	// The requests still wait, and the node reports them again.
-	p.Use("n", []Use{waitingUse(unit("m1"), 500), waitingUse(unit("m2"), 500)}, at(5190))
+	p.RecordUsage("n", []Usage{waitingUse(unit("m1"), 500), waitingUse(unit("m2"), 500)}, at(5190))
 	if got := len(orders(p.Plan(at(5200), 2))); got != 1 {
 		t.Errorf("%d loads from the store a window later, want 1 more", got)
 	}
--- a/core/placement/plan.go
+++ b/core/placement/plan.go
@@ -206,10 +206,10 @@
 
 // send appends an order to the actions and updates the state that the rest of the plan uses.
 func (g *planning) send(e *engine, o *Order) {
-	o.Engine, o.Address, o.Fence, o.Taken, o.Books = e.id, e.address, g.fence, e.taken, e.stats(g.table, g.now)
+	o.Engine, o.Address, o.Fence, o.Taken, o.EngineStats = e.id, e.address, g.fence, e.taken, e.stats(g.table, g.now)
 	e.pending = o
 	m := g.model(o.Unit.Base())
-	o.Facts = g.modelStats(m)
+	o.ModelStats = g.modelStats(m)
 	if o.FromStore {
 		g.storeLoads = append(g.storeLoads, g.now)
 		g.storeBusy++
--- a/core/placement/property_test.go
+++ b/core/placement/property_test.go
@@ -203,18 +203,18 @@
 }
 
 func (f *fakeFleet) demand() {
-	var uses []Use
+	var uses []Usage
 	for i := range 7 {
 		switch f.rand.IntN(9) {
 		case 0:
-			uses = append(uses, Use{Unit: unit(fmt.Sprintf("m%d", i)), Waiting: 1, Arrivals: 1, Urgent: f.now.Add(time.Second), Last: f.now.Add(time.Second)})
+			uses = append(uses, Usage{Unit: unit(fmt.Sprintf("m%d", i)), Waiting: 1, Arrivals: 1, NextDue: f.now.Add(time.Second), LastDue: f.now.Add(time.Second)})
 		case 1, 2:
 			u := Unit{Service: "s", Model: fmt.Sprintf("m%d", i), Adapter: fmt.Sprintf("a%d", 1+f.rand.IntN(9))}
-			uses = append(uses, Use{Unit: u, Waiting: 1, Arrivals: 1, Urgent: f.now.Add(time.Second), Last: f.now.Add(time.Second)})
+			uses = append(uses, Usage{Unit: u, Waiting: 1, Arrivals: 1, NextDue: f.now.Add(time.Second), LastDue: f.now.Add(time.Second)})
 		}
 	}
 	for _, p := range f.nodes {
-		p.Use("n", uses, f.now)
+		p.RecordUsage("n", uses, f.now)
 	}
 	f.reportMissing()
 }
@@ -225,7 +225,7 @@
 		for _, id := range slices.Sorted(maps.Keys(h.p.engines)) {
 			for _, m := range slices.Sorted(maps.Keys(h.p.engines[id].models)) {
 				if _, there := f.engines[id].models[m]; !there && f.oneIn(8) {
-					h.p.Missing(id, f.now)
+					h.p.HandleMissing(id, f.now)
 				}
 			}
 		}
@@ -240,13 +240,13 @@
 	e := f.engines[a.Order.Engine]
 	switch {
 	case e == nil:
-		h.p.Replied(a.Order, Gone, f.now)
+		h.p.HandleReply(a.Order, WrongEngine, f.now)
 	case f.oneIn(6):
 		f.logf("%s: order %v unload=%v fence %d at %d is late", e.id, a.Order.Unit, a.Order.Unload, a.Order.Fence, a.Order.Taken)
 		f.late = append(f.late, lateOrder{a.Order, f.now.Add(f.between(0, 12000))})
-		h.p.Replied(a.Order, Lost, f.now)
+		h.p.HandleReply(a.Order, Unanswered, f.now)
 	default:
-		h.p.Replied(a.Order, f.order(e, a.Order), f.now)
+		h.p.HandleReply(a.Order, f.order(e, a.Order), f.now)
 	}
 }
 
--- a/core/placement/replies.go
+++ b/core/placement/replies.go
@@ -4,17 +4,17 @@
 	"time"
 )
 
-// Missing handles an engine's refusal of a request for a unit that it does not hold: its state
+// HandleMissing handles an engine's refusal of a request for a unit that it does not hold: its state
 // becomes unknown.
-func (p *Planner) Missing(engine string, now time.Time) {
+func (p *Planner) HandleMissing(engine string, now time.Time) {
 	if e := p.engines[engine]; e != nil && e.known {
 		e.invalidate(now, maxReportAge)
 	}
 }
 
-// Replied handles the reply to an order. Replies to orders that are no longer pending are
+// HandleReply handles the reply to an order. Replies to orders that are no longer pending are
 // ignored.
-func (p *Planner) Replied(o *Order, r Reply, now time.Time) {
+func (p *Planner) HandleReply(o *Order, r Reply, now time.Time) {
 	e := p.engines[o.Engine]
 	if e == nil || e.pending != o {
 		return
@@ -33,7 +33,7 @@
 			p.confirm(e, now)
 		}
 		p.applyAccepted(e, o, now)
-	case Holds:
+	case NothingToDo:
 		if o.Unload && o.Unit.Adapter != "" {
 			// An adapter without requests is dropped at once, and the engine counts that order
 			// as taken.
@@ -52,7 +52,7 @@
 		}
 		e.invalidate(now, maxReportAge)
 	default:
-		if r == Lost {
+		if r == Unanswered {
 			p.recordUnanswered(o, now)
 		}
 		p.fenced = p.fenced || r == Fenced
--- a/core/placement/reports.go
+++ b/core/placement/reports.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Reported handles an engine's report that was requested at askedAt.
-func (p *Planner) Reported(id string, r *Report, askedAt, now time.Time) {
+// HandleReport handles an engine's report that was requested at askedAt.
+func (p *Planner) HandleReport(id string, r *Report, askedAt, now time.Time) {
 	e := p.engines[id]
 	if e == nil {
 		return
@@ -60,8 +60,8 @@
 	}
 }
 
-// ProbeFailed records that a probe got no report.
-func (p *Planner) ProbeFailed(id string, now time.Time) {
+// HandleProbeFailure records that a probe got no report.
+func (p *Planner) HandleProbeFailure(id string, now time.Time) {
 	if e := p.engines[id]; e != nil {
 		e.probing = false
 		e.nextProbe = now.Add(maxReportAge)
--- a/core/placement/restarts.go
+++ b/core/placement/restarts.go
@@ -80,7 +80,7 @@
 	e.models, e.taken, e.recheckAt = make(map[string]*heldModel), 0, time.Time{}
 	e.invalidate(now, 0)
 	e.invalidSince = since
-	p.restarts = append(p.restarts, Restart{Engine: e.id, Start: start, Late: len(h.unanswered)})
+	p.restarts = append(p.restarts, Restart{Engine: e.id, Start: start, UnansweredLoads: len(h.unanswered)})
 }
 
 // Restart is a new incarnation of an engine under a known id. It invalidates what the planner
@@ -89,12 +89,12 @@
 	Engine string
 	// Start identifies the new incarnation; 0 if the engine does not tell it.
 	Start directory.Start
-	// Late counts the unanswered loads that may still be carried out.
-	Late int
+	// UnansweredLoads counts the unanswered loads that may still be carried out.
+	UnansweredLoads int
 }
 
-// StartedAgain returns the restarts seen since the last call.
-func (p *Planner) StartedAgain() []Restart {
+// Restarts returns the restarts seen since the last call.
+func (p *Planner) Restarts() []Restart {
 	out := p.restarts
 	p.restarts = nil
 	return out
--- a/core/placement/restarts_test.go
+++ b/core/placement/restarts_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	reported := func(r Report, askedMs int) func(p *Planner) {
-		return func(p *Planner) { p.Reported("e", &r, at(askedMs), at(askedMs+5)) }
+		return func(p *Planner) { p.HandleReport("e", &r, at(askedMs), at(askedMs+5)) }
 	}
 	tests := []struct {
 		name  string
@@ -48,7 +48,7 @@
 			p := testPlanner(t, 3, map[string]Report{"e": {Start: tt.start, Taken: 3, Holdings: full}})
 			tt.event(p)
 			e := p.engines["e"]
-			got := []any{len(p.StartedAgain()) > 0, e.known, e.taken}
+			got := []any{len(p.Restarts()) > 0, e.known, e.taken}
 			if diff := cmp.Diff([]any{tt.ends, tt.known, tt.taken}, got); diff != "" {
 				t.Errorf("ends, known, taken (-want +got):\n%s", diff)
 			}
@@ -61,13 +61,13 @@
 func TestRestartWhileDelisted(t *testing.T) {
 	p := testPlanner(t, 3, map[string]Report{"e": {Start: 2000, Taken: 3, Holdings: directory.Holdings{OnDisk: []string{"m0", "m1", "m2"}}}})
 	addWaiting(p, "m1", 10)
-	p.Replied(onlyOrder(t, p, 10), Lost, at(20))
+	p.HandleReply(onlyOrder(t, p, 10), Unanswered, at(20))
 	p.SetEngines(nil, at(100))
 	en := entry("e")
 	en.Start = 3000
 	p.SetEngines([]*directory.Entry{en}, at(900))
-	want := []Restart{{Engine: "e", Start: 3000, Late: 1}}
-	if diff := cmp.Diff(want, p.StartedAgain()); diff != "" {
+	want := []Restart{{Engine: "e", Start: 3000, UnansweredLoads: 1}}
+	if diff := cmp.Diff(want, p.Restarts()); diff != "" {
 		t.Errorf("starts (-want +got):\n%s", diff)
 	}
 	if p.engines["e"].known {
--- a/core/placement/storeconcurrency_test.go
+++ b/core/placement/storeconcurrency_test.go
@@ -70,27 +70,27 @@
 						first = d
 					}
 				}
-				var uses []Use
+				var uses []Usage
 				for k := range models {
-					uses = append(uses, Use{Unit: unit(fmt.Sprintf("m%d", k)), Waiting: 1, Urgent: now.Add(time.Hour), Last: now.Add(time.Hour)})
+					uses = append(uses, Usage{Unit: unit(fmt.Sprintf("m%d", k)), Waiting: 1, NextDue: now.Add(time.Hour), LastDue: now.Add(time.Hour)})
 				}
-				p.Use("n", uses, now)
+				p.RecordUsage("n", uses, now)
 				for _, a := range p.Plan(now, 1) {
 					switch {
 					case a.Probe != nil:
 						e := a.Probe.Engine
 						_, busy := store.loads[e]
-						p.Reported(e, &Report{Taken: taken[e], Busy: busy, Holdings: directory.Holdings{Models: heldList(held[e]...), OnDisk: held[e]}}, now, now)
+						p.HandleReport(e, &Report{Taken: taken[e], Busy: busy, Holdings: directory.Holdings{Models: heldList(held[e]...), OnDisk: held[e]}}, now, now)
 					case a.Order.FromStore:
 						store.loads[a.Order.Engine], loading[a.Order.Engine] = 0, a.Order.Unit.Model
 						taken[a.Order.Engine]++
-						p.Replied(a.Order, Accepted, now)
+						p.HandleReply(a.Order, Accepted, now)
 					default:
-						p.Replied(a.Order, Conflict, now)
+						p.HandleReply(a.Order, Conflict, now)
 					}
 				}
 			}
-			if got := p.StoreLoadsAtOnce(); got < test.estimate[0] || got > test.estimate[1] {
+			if got := p.StoreConcurrency(); got < test.estimate[0] || got > test.estimate[1] {
 				t.Errorf("after %v the estimate is %d, want within %v", test.within, got, test.estimate)
 			}
 			if first == 0 || first > test.firstBy {
@@ -115,16 +115,16 @@
 // engine. The busy model is loaded at once, and no further model for a single request is.
 func TestBusyModelBeforeStoreQueue(t *testing.T) {
 	p := testPlanner(t, 9, map[string]Report{"e1": {}, "e2": {}, "e3": {}, "e4": {}})
-	p.Use("n", []Use{waitingUse(unit("m1"), 5000), waitingUse(unit("m2"), 5000), waitingUse(unit("m3"), 5000)}, at(10))
+	p.RecordUsage("n", []Usage{waitingUse(unit("m1"), 5000), waitingUse(unit("m2"), 5000), waitingUse(unit("m3"), 5000)}, at(10))
 	first := p.Plan(at(10), 1)
 	if len(orders(first)) != initialConcurrency {
 		t.Fatalf("orders for single requests: %v, want %d", orders(first), initialConcurrency)
 	}
 	for _, a := range first {
-		p.Replied(a.Order, Accepted, at(12))
+		p.HandleReply(a.Order, Accepted, at(12))
 	}
-	busy := Use{Unit: unit("m0"), Waiting: 11, Arrivals: 60, Objective: 300 * time.Millisecond, Urgent: at(300), Last: at(600)}
-	p.Use("n", []Use{busy, waitingUse(unit("m1"), 5000), waitingUse(unit("m2"), 5000), waitingUse(unit("m3"), 5000)}, at(20))
+	busy := Usage{Unit: unit("m0"), Waiting: 11, Arrivals: 60, Objective: 300 * time.Millisecond, NextDue: at(300), LastDue: at(600)}
+	p.RecordUsage("n", []Usage{busy, waitingUse(unit("m1"), 5000), waitingUse(unit("m2"), 5000), waitingUse(unit("m3"), 5000)}, at(20))
 	var units []string
 	for _, o := range orders(p.Plan(at(20), 1)) {
 		units = append(units, o.Unit)
--- a/core/placement/storeloads.go
+++ b/core/placement/storeloads.go
@@ -42,9 +42,9 @@
 	return g.storeBusy < limit
 }
 
-// StoreLoadsAtOnce returns the estimate of how many loads the weight store runs at full speed
+// StoreConcurrency returns the estimate of how many loads the weight store runs at full speed
 // at the same time.
-func (p *Planner) StoreLoadsAtOnce() int { return p.store.estimate }
+func (p *Planner) StoreConcurrency() int { return p.store.estimate }
 
 // observeStore updates the estimate of the store's concurrency with the loads in progress, in
 // particular those that last longer than at full speed.
--- a/core/placement/usage.go
+++ b/core/placement/usage.go
@@ -24,7 +24,7 @@
 type usage struct {
 	model *modelState
 	// nodes holds the latest report of each node that has one for the unit, by node.
-	nodes map[string]Use
+	nodes map[string]Usage
 	// waiting counts the waiting requests in these reports, and runningAt the running ones by
 	// engine id.
 	waiting   int
@@ -57,7 +57,7 @@
 }
 
 // add replaces the node's latest report and updates the rate.
-func (u *usage) add(node string, r Use, now time.Time) {
+func (u *usage) add(node string, r Usage, now time.Time) {
 	u.remove(node)
 	u.nodes[node] = r
 	u.count(r, 1)
@@ -69,7 +69,7 @@
 	if r.Objective > 0 {
 		u.objective = r.Objective
 	}
-	if r.SentAway > 0 {
+	if r.Deferred > 0 {
 		u.deferredAt = now
 	}
 }
@@ -83,7 +83,7 @@
 }
 
 // count adds a report to the sums of the unit and its model, or subtracts it if sign is -1.
-func (u *usage) count(r Use, sign int) {
+func (u *usage) count(r Usage, sign int) {
 	u.waiting += sign * r.Waiting
 	u.model.waiting += sign * r.Waiting
 	for engine, k := range r.RunningAt {
@@ -112,7 +112,7 @@
 	var d deadlines
 	for _, r := range u.nodes {
 		if r.Waiting > 0 {
-			d.add(deadlines{r.Urgent, r.Last}, now)
+			d.add(deadlines{r.NextDue, r.LastDue}, now)
 		}
 	}
 	return d
@@ -124,7 +124,7 @@
 
 // add merges the deadlines of other waiting requests.
 func (d *deadlines) add(o deadlines, now time.Time) {
-	if d.nextDue.IsZero() || queue.Sooner(o.nextDue, d.nextDue, now) {
+	if d.nextDue.IsZero() || queue.Before(o.nextDue, d.nextDue, now) {
 		d.nextDue = o.nextDue
 	}
 	if o.lastDue.After(d.lastDue) {
@@ -145,9 +145,9 @@
 	return p.value
 }
 
-// Use records a node's usage report. A report is complete: units that it does not name have no
+// Usage records a node's usage report. A report is complete: units that it does not name have no
 // requests at that node.
-func (p *Planner) Use(node string, reports []Use, now time.Time) {
+func (p *Planner) RecordUsage(node string, reports []Usage, now time.Time) {
 	n := p.nodes[node]
 	if n == nil {
 		n = &nodeReport{}
@@ -171,7 +171,7 @@
 		if len(m.usages) == 0 {
 			m.peak.at = now
 		}
-		u = &usage{model: m, nodes: make(map[string]Use), runningAt: make(map[string]int), rateAt: now}
+		u = &usage{model: m, nodes: make(map[string]Usage), runningAt: make(map[string]int), rateAt: now}
 		p.usages[unit] = u
 		m.usages = append(m.usages, u)
 	}
@@ -189,7 +189,7 @@
 }
 
 // touchAdapter updates the last use of an adapter at the engines where requests for it run.
-func (p *Planner) touchAdapter(r Use, now time.Time) {
+func (p *Planner) touchAdapter(r Usage, now time.Time) {
 	if r.Unit.Adapter == "" {
 		return
 	}
--- a/core/placement/value_test.go
+++ b/core/placement/value_test.go
@@ -30,10 +30,10 @@
 // a copy.
 func TestMissLoss(t *testing.T) {
 	p := testPlanner(t, 3, map[string]Report{"e1": {Holdings: directory.Holdings{OnDisk: []string{"m0", "m1"}}}})
-	ask := func(model string, objective time.Duration) Use {
-		return Use{Unit: unit(model), Waiting: 1, Arrivals: 1, Objective: objective, Urgent: at(900), Last: at(900)}
+	ask := func(model string, objective time.Duration) Usage {
+		return Usage{Unit: unit(model), Waiting: 1, Arrivals: 1, Objective: objective, NextDue: at(900), LastDue: at(900)}
 	}
-	p.Use("n", []Use{ask("m0", 2*time.Second), ask("m1", 300*time.Millisecond), ask("m2", 2*time.Second)}, at(10))
+	p.RecordUsage("n", []Usage{ask("m0", 2*time.Second), ask("m1", 300*time.Millisecond), ask("m2", 2*time.Second)}, at(10))
 	loss := make(map[string]float64)
 	g := &planning{Planner: p, now: at(10), engineCounts: make(map[string]int)}
 	g.computeStats()
--- a/core/placement/work_test.go
+++ b/core/placement/work_test.go
@@ -16,7 +16,7 @@
 	p := testPlanner(t, 3, map[string]Report{
 		"e1": {Holdings: directory.Holdings{Models: heldList("m0", "m1"), OnDisk: []string{"m0", "m1", "m2"}}},
 	})
-	p.Use("n", []Use{waitingUse(unit("m2"), 500)}, at(10))
+	p.RecordUsage("n", []Usage{waitingUse(unit("m2"), 500)}, at(10))
 	actions := p.Plan(at(10), 1)
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m0", true, false}}, orders(actions)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
@@ -30,7 +30,7 @@
 // behind it.
 func TestSwapWithoutReports(t *testing.T) {
 	p, unload := swapPlanner(t)
-	p.Replied(unload, Accepted, at(12))
+	p.HandleReply(unload, Accepted, at(12))
 	if got := orders(p.Plan(at(20), 1)); got != nil {
 		t.Errorf("orders while the unload is in progress: %v", got)
 	}
@@ -42,19 +42,19 @@
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m2", false, false}}, orders(actions)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
 	}
-	p.Replied(actions[0].Order, Accepted, gone)
+	p.HandleReply(actions[0].Order, Accepted, gone)
 	there := gone.Add(800*time.Millisecond + endSlack)
 	p.Plan(there, 1)
 	if diff := cmp.Diff(map[string][]Unit{"e1": {unit("m1"), unit("m2")}}, p.Serving(there)); diff != "" {
 		t.Errorf("Serving (-want +got):\n%s", diff)
 	}
 	// A report from before the expected end changes nothing; a later one decides.
-	p.Reported("e1", &Report{Taken: 2, Busy: true, Holdings: directory.Holdings{Models: heldList("m1")}}, there, there)
+	p.HandleReport("e1", &Report{Taken: 2, Busy: true, Holdings: directory.Holdings{Models: heldList("m1")}}, there, there)
 	if got := len(p.Serving(there)["e1"]); got != 2 {
 		t.Errorf("%d units after an old report, want 2", got)
 	}
 	late := there.Add(maxReportAge)
-	p.Reported("e1", &Report{Taken: 2, Busy: true, Holdings: directory.Holdings{Models: heldList("m1")}}, late, late)
+	p.HandleReport("e1", &Report{Taken: 2, Busy: true, Holdings: directory.Holdings{Models: heldList("m1")}}, late, late)
 	if diff := cmp.Diff(map[string][]Unit{"e1": {unit("m1")}}, p.Serving(late)); diff != "" {
 		t.Errorf("Serving after a report that the load goes on (-want +got):\n%s", diff)
 	}
@@ -64,7 +64,7 @@
 // stays reserved, the order is tried again, and after the last try a report decides.
 func TestRefusedEarly(t *testing.T) {
 	p, unload := swapPlanner(t)
-	p.Replied(unload, Accepted, at(12))
+	p.HandleReply(unload, Accepted, at(12))
 	now := at(12)
 	p.Plan(now, 1)
 	for try := range maxEarlyRefusals {
@@ -77,7 +77,7 @@
 		if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m2", false, false}}, orders(got)); diff != "" {
 			t.Fatalf("try %d: orders (-want +got):\n%s", try, diff)
 		}
-		p.Replied(got[0].Order, Conflict, now)
+		p.HandleReply(got[0].Order, Conflict, now)
 		if got := orders(p.Plan(now.Add(time.Millisecond), 1)); got != nil {
 			t.Fatalf("orders right after a refusal: %v", got)
 		}
@@ -86,7 +86,7 @@
 	if got := orders(p.Plan(now, 1)); got != nil {
 		t.Errorf("orders to an engine of unknown state: %v", got)
 	}
-	p.Reported("e1", &Report{Taken: 1, Holdings: directory.Holdings{Models: heldList("m1"), OnDisk: []string{"m2"}}}, now, now)
+	p.HandleReport("e1", &Report{Taken: 1, Holdings: directory.Holdings{Models: heldList("m1"), OnDisk: []string{"m2"}}}, now, now)
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m2", false, false}}, orders(p.Plan(now, 1))); diff != "" {
 		t.Errorf("orders after the report (-want +got):\n%s", diff)
 	}
@@ -97,7 +97,7 @@
 	p := testPlanner(t, 3, map[string]Report{
 		"e1": {Holdings: directory.Holdings{Models: heldList("m0", "m1"), OnDisk: []string{"m0", "m1", "m2"}}},
 	})
-	p.Use("n", []Use{
+	p.RecordUsage("n", []Usage{
 		waitingUse(unit("m2"), 500), {Unit: unit("m0"), Arrivals: 1, RunningAt: map[string]int{"e1": 1}},
 		{Unit: unit("m1"), Arrivals: 1, RunningAt: map[string]int{"e1": 2}},
 	}, at(2000))
@@ -105,7 +105,7 @@
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m0", true, false}}, orders(actions)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
 	}
-	p.Replied(actions[0].Order, Accepted, at(2002))
+	p.HandleReply(actions[0].Order, Accepted, at(2002))
 	if got := orders(p.Plan(at(2500), 1)); got != nil {
 		t.Errorf("orders before a report: %v", got)
 	}
@@ -117,13 +117,13 @@
 func TestAdaptersWhileUnloading(t *testing.T) {
 	full := []directory.Held{{Model: "m0", Adapters: []string{"a1", "a2", "a4", "a5"}}, {Model: "m1"}}
 	p := testPlanner(t, 3, map[string]Report{"e1": {Holdings: directory.Holdings{Models: full, OnDisk: []string{"m0", "m1", "m2"}}}})
-	p.Use("n", []Use{waitingUse(unit("m2"), 500), {Unit: unit("m1"), Arrivals: 60}}, at(10))
+	p.RecordUsage("n", []Usage{waitingUse(unit("m2"), 500), {Unit: unit("m1"), Arrivals: 60}}, at(10))
 	unload := p.Plan(at(10), 1)
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m0", true, false}}, orders(unload)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
 	}
-	p.Replied(unload[0].Order, Accepted, at(12))
-	p.Use("n", []Use{waitingUse(Unit{Service: "s", Model: "m1", Adapter: "a3"}, 500)}, at(13))
+	p.HandleReply(unload[0].Order, Accepted, at(12))
+	p.RecordUsage("n", []Usage{waitingUse(Unit{Service: "s", Model: "m1", Adapter: "a3"}, 500)}, at(13))
 	for _, a := range p.Plan(at(12).Add(unloadTime+endSlack), 1) {
 		if a.Order != nil && a.Order.Unit.Adapter != "" {
 			t.Errorf("order for a fifth adapter: %v", orders([]Action{a}))
@@ -137,21 +137,21 @@
 	p := testPlanner(t, 3, map[string]Report{
 		"e1": {Holdings: directory.Holdings{Models: heldList("m0", "m1"), OnDisk: []string{"m0", "m1", "m2"}}},
 	})
-	run := func(n int) []Use {
-		return []Use{
+	run := func(n int) []Usage {
+		return []Usage{
 			waitingUse(unit("m2"), 500), {Unit: unit("m0"), RunningAt: map[string]int{"e1": n}},
 			{Unit: unit("m1"), RunningAt: map[string]int{"e1": 2}},
 		}
 	}
-	p.Use("n", run(1), at(2000))
+	p.RecordUsage("n", run(1), at(2000))
 	unload := p.Plan(at(2000), 1)
-	p.Replied(unload[0].Order, Accepted, at(2002))
-	p.Use("n", run(0), at(2400))
+	p.HandleReply(unload[0].Order, Accepted, at(2002))
+	p.RecordUsage("n", run(0), at(2400))
 	load := p.Plan(at(2401), 1)
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m2", false, false}}, orders(load)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
 	}
-	p.Replied(load[len(load)-1].Order, Accepted, at(2402))
+	p.HandleReply(load[len(load)-1].Order, Accepted, at(2402))
 	if got, want := p.drainPerRun.Mean(defaultRunTime), 400*time.Millisecond-unloadTime; got != want {
 		t.Errorf("drain time of a run is %v, want %v", got, want)
 	}
@@ -163,22 +163,22 @@
 func TestReopenKeepsAdapters(t *testing.T) {
 	p := testPlanner(t, 3, map[string]Report{"e1": {Holdings: directory.Holdings{Models: heldList("m1"), OnDisk: []string{"m0"}}}})
 	adapter := func(name string) Unit { return Unit{Service: "s", Model: "m0", Adapter: name} }
-	p.Use("n", []Use{waitingUse(unit("m0"), 500)}, at(10))
+	p.RecordUsage("n", []Usage{waitingUse(unit("m0"), 500)}, at(10))
 	load := p.Plan(at(10), 1)
-	p.Replied(load[0].Order, Accepted, at(12))
+	p.HandleReply(load[0].Order, Accepted, at(12))
 	there := at(12).Add(800*time.Millisecond + endSlack)
-	p.Use("n", []Use{waitingUse(adapter("a1"), 900)}, there)
+	p.RecordUsage("n", []Usage{waitingUse(adapter("a1"), 900)}, there)
 	first := p.Plan(there, 1)
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m0/a1", false, false}}, orders(first)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
 	}
-	p.Replied(first[len(first)-1].Order, Accepted, there)
-	p.Use("n", []Use{waitingUse(adapter("a2"), 900)}, there)
+	p.HandleReply(first[len(first)-1].Order, Accepted, there)
+	p.RecordUsage("n", []Usage{waitingUse(adapter("a2"), 900)}, there)
 	second := p.Plan(there.Add(adapterLoadTime), 1)
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m0/a2", false, false}}, orders(second)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
 	}
-	p.Replied(second[len(second)-1].Order, Conflict, there.Add(adapterLoadTime))
+	p.HandleReply(second[len(second)-1].Order, Conflict, there.Add(adapterLoadTime))
 	later := there.Add(time.Second)
 	p.Plan(later, 1)
 	if got := p.engines["e1"].adapters(); got == 0 {
--- a/core/plan/loads.go
+++ b/core/plan/loads.go
@@ -29,7 +29,7 @@
 func (p *Planner) loadActions(in *Input) []Action {
 	var acts []Action
 	for _, w := range p.replicaRequests(in) {
-		if in.Ledger.Queued(w.unit.Store) >= ledger.MaxQueuedLoads {
+		if in.Ledger.QueuedLoads(w.unit.Store) >= ledger.MaxQueuedLoads {
 			p.reasons[w.unit.Name] = "waits: the queue for weight store " + w.unit.Store + " is full"
 			continue
 		}
@@ -357,7 +357,7 @@
 	idle := p.idleTime(in, pl, d)
 	return policy.Victim{
 		Unit: pl.Unit, Version: pl.Version, Bytes: pl.Bytes, Fence: pl.Fence,
-		Idle: idle, ReloadCost: p.Policy.Loss(pl.Unit, idle, in.Now),
+		Idle: idle, ReloadCost: p.Policy.ReloadCost(pl.Unit, idle, in.Now),
 	}, true
 }
 
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -58,9 +58,9 @@
 	// time stays loaded and whether an unloaded unit is prewarmed. share is the
 	// fraction of an engine's memory that the replica takes.
 	Decide(unit string, share float64, idle time.Duration, now time.Time) policy.Decision
-	// Loss returns the expected cost of unloading a replica that has been idle for
+	// ReloadCost returns the expected cost of unloading a replica that has been idle for
 	// the given time.
-	Loss(unit string, idle time.Duration, now time.Time) float64
+	ReloadCost(unit string, idle time.Duration, now time.Time) float64
 	// Used reports that the unit was in use at a time.
 	Used(unit string, at time.Time)
 	// Loaded reports how long a load of the unit took.
@@ -236,9 +236,9 @@
 	return acts
 }
 
-// Settled reports to the planner the outcome of a record that it proposed. An
+// ResolveProposal reports to the planner the outcome of a record that it proposed. An
 // accepted order starts its lease; a rejected proposal is paused briefly.
-func (p *Planner) Settled(o ledger.Outcome, now time.Time) {
+func (p *Planner) ResolveProposal(o ledger.Outcome, now time.Time) {
 	s := subject(o.Record)
 	if s == "" {
 		return
--- a/core/plan/unloads.go
+++ b/core/plan/unloads.go
@@ -43,7 +43,7 @@
 		return true
 	}
 	d := in.Demand.Get(unit, in.Now)
-	return !u.Pinned && d.Waiting == 0 && in.Now.Sub(d.LastUse) > demand.Life
+	return !u.Pinned && d.Waiting == 0 && in.Now.Sub(d.LastUse) > demand.ReportTTL
 }
 
 // loadedUnits returns, sorted, the versions with at least one placement of the
--- a/core/policy/costed.go
+++ b/core/policy/costed.go
@@ -48,8 +48,8 @@
 	PartWaiters
 	// PartPrewarm loads units before they are requested.
 	PartPrewarm
-	// PartLoss evicts by expected cost; without it, by idle time.
-	PartLoss
+	// PartReloadCost evicts by expected cost; without it, by idle time.
+	PartReloadCost
 )
 
 // NewCosted returns a policy with the given weights that has learned nothing yet.
@@ -114,12 +114,12 @@
 	return p
 }
 
-// Loss returns the expected cost of unloading a replica that has been idle for a
+// ReloadCost returns the expected cost of unloading a replica that has been idle for a
 // time: the cost of a cold start, times the probability of a use within
 // reloadHorizon.
-func (c *Costed) Loss(unit string, idle time.Duration, now time.Time) float64 {
-	if !c.enabled(PartLoss) {
-		return Fixed{}.Loss(unit, idle, now)
+func (c *Costed) ReloadCost(unit string, idle time.Duration, now time.Time) float64 {
+	if !c.enabled(PartReloadCost) {
+		return Fixed{}.ReloadCost(unit, idle, now)
 	}
 	return c.reloadCost(unit) * c.useProbability(unit, idle, now, reloadHorizon)
 }
@@ -137,8 +137,8 @@
 	return Decision{Hold: idle < f.Keep, Why: "kept " + f.Keep.String() + " after use"}
 }
 
-// Loss returns a cost that falls with the idle time.
-func (f Fixed) Loss(_ string, idle time.Duration, _ time.Time) float64 {
+// ReloadCost returns a cost that falls with the idle time.
+func (f Fixed) ReloadCost(_ string, idle time.Duration, _ time.Time) float64 {
 	return 1 / (1 + idle.Seconds())
 }
 
--- a/core/position/position.go
+++ b/core/position/position.go
@@ -22,8 +22,8 @@
 
 // Greatest era and offset that a position can represent: 4,095 restores, and 30 years of 1,000 records a second.
 const (
-	MostEra    = 1<<eraBits - 1
-	MostOffset = 1<<offsetBits - 1
+	MaxEra    = 1<<eraBits - 1
+	MaxOffset = 1<<offsetBits - 1
 )
 
 // RangeError is returned for an era or offset of the store that exceeds the range of a position.
@@ -31,12 +31,12 @@
 
 // Error implements error.
 func (e RangeError) Error() string {
-	return fmt.Sprintf("era %d and offset %d of the store exceed the maxima %d and %d; begin with a new store", e.Era, e.Offset, MostEra, MostOffset)
+	return fmt.Sprintf("era %d and offset %d of the store exceed the maxima %d and %d; begin with a new store", e.Era, e.Offset, MaxEra, MaxOffset)
 }
 
 // Of returns the position of an offset in an era, or a [RangeError].
 func Of(era, offset uint64) (Position, error) {
-	if era > MostEra || offset > MostOffset {
+	if era > MaxEra || offset > MaxOffset {
 		return 0, RangeError{era, offset}
 	}
 	return era<<offsetBits | offset, nil
@@ -49,4 +49,4 @@
 func Era(p Position) uint64 { return p >> offsetBits }
 
 // Offset returns the offset of a position within its era.
-func Offset(p Position) uint64 { return p & MostOffset }
+func Offset(p Position) uint64 { return p & MaxOffset }
--- a/core/position/position_test.go
+++ b/core/position/position_test.go
@@ -11,8 +11,8 @@
 // a position and the fencing number derived from it fit into 53 bits.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e1, e2 := rapid.Uint64Range(0, MostEra).Draw(t, "era1"), rapid.Uint64Range(0, MostEra).Draw(t, "era2")
-		o1, o2 := rapid.Uint64Range(0, MostOffset).Draw(t, "offset1"), rapid.Uint64Range(0, MostOffset).Draw(t, "offset2")
+		e1, e2 := rapid.Uint64Range(0, MaxEra).Draw(t, "era1"), rapid.Uint64Range(0, MaxEra).Draw(t, "era2")
+		o1, o2 := rapid.Uint64Range(0, MaxOffset).Draw(t, "offset1"), rapid.Uint64Range(0, MaxOffset).Draw(t, "offset2")
 		p1, err1 := Of(e1, o1)
 		p2, err2 := Of(e2, o2)
 		if err1 != nil || err2 != nil {
@@ -32,7 +32,7 @@
 
 // TestRange checks that an era or offset out of range is an error and never yields the position of another one.
 func TestRange(t *testing.T) {
-	for _, tt := range []struct{ era, offset uint64 }{{MostEra + 1, 0}, {0, MostOffset + 1}} {
+	for _, tt := range []struct{ era, offset uint64 }{{MaxEra + 1, 0}, {0, MaxOffset + 1}} {
 		_, err := Of(tt.era, tt.offset)
 		var r RangeError
 		if !errors.As(err, &r) {
--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -14,7 +14,7 @@
 	f := request(77)
 	now := at(time.Minute)
 	for b.Loop() {
-		r.Held(f, now)
+		r.Blocked(f, now)
 	}
 }
 
--- a/core/quarantine/bounds.go
+++ b/core/quarantine/bounds.go
@@ -22,11 +22,11 @@
 	suspicionTTL = 10 * time.Minute
 	// verdictTTL is how long a verdict is kept after the request was last seen.
 	verdictTTL = 24 * time.Hour
-	// Settle is how long after the latest suspicion of a crash all of its suspects are assumed to be known:
+	// SettleTime is how long after the latest suspicion of a crash all of its suspects are assumed to be known:
 	// connections break within milliseconds, and nodes report at once.
-	Settle = 250 * time.Millisecond
-	// Tell is the time that a verdict takes from the node that joins the blames of all nodes to the other nodes.
-	Tell = 200 * time.Millisecond
+	SettleTime = 250 * time.Millisecond
+	// PropagationTime is the time that a verdict takes from the node that joins the blames of all nodes to the other nodes.
+	PropagationTime = 200 * time.Millisecond
 )
 
 // evictCrash removes the oldest crash if there are too many.
--- a/core/quarantine/entry.go
+++ b/core/quarantine/entry.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// EndID identifies one crash of an engine.
-type EndID struct {
+// CrashID identifies one crash of an engine.
+type CrashID struct {
 	Engine string `json:"engine"`
 	// Start identifies the engine's incarnation by its start time in Unix milliseconds; 0 if the engine does not
 	// publish it.
@@ -16,15 +16,15 @@
 }
 
 // compare defines the order of crashes in an entry.
-func (e EndID) compare(o EndID) int {
+func (e CrashID) compare(o CrashID) int {
 	return cmp.Or(cmp.Compare(e.Engine, o.Engine), cmp.Compare(e.Start, o.Start), cmp.Compare(e.N, o.N))
 }
 
-// Blame is the suspicion that a request crashed an engine: the engine crashed while it had the request.
-type Blame struct {
-	End EndID
-	// Ran is how long the engine had the request before the crash.
-	Ran time.Duration
+// Suspicion is the suspicion that a request crashed an engine: the engine crashed while it had the request.
+type Suspicion struct {
+	End CrashID
+	// Elapsed is how long the engine had the request before the crash.
+	Elapsed time.Duration
 	// Begun is true if the engine had begun to answer.
 	Begun bool
 	// At is when the crash was noticed.
@@ -47,11 +47,11 @@
 	Epoch uint32
 	// At is when the epoch began, or when the request was first suspected.
 	At time.Time
-	// Blames are sorted by End, one for each.
-	Blames []Blame
+	// Suspicions are sorted by End, one for each.
+	Suspicions []Suspicion
 	// Verdict is nil if the request is not quarantined.
 	Verdict *Verdict
 }
 
 // empty reports whether the entry holds no information.
-func (e *Entry) empty() bool { return e.Epoch == 0 && len(e.Blames) == 0 && e.Verdict == nil }
+func (e *Entry) empty() bool { return e.Epoch == 0 && len(e.Suspicions) == 0 && e.Verdict == nil }
--- a/core/quarantine/evaluate.go
+++ b/core/quarantine/evaluate.go
@@ -71,8 +71,8 @@
 // Pending reports whether some records wait for Judge until their crashes have settled.
 func (r *Registry) Pending() bool { return len(r.pending) > 0 }
 
-// Judge evaluates the pending records whose crashes have settled, and returns the requests whose state changed.
-func (r *Registry) Judge(now time.Time) []Fingerprint {
+// Evaluate evaluates the pending records whose crashes have settled, and returns the requests whose state changed.
+func (r *Registry) Evaluate(now time.Time) []Fingerprint {
 	var due []*record
 	for rec := range r.pending {
 		if rec.settledAt() <= now.Sub(r.base) {
--- a/core/quarantine/exchange.go
+++ b/core/quarantine/exchange.go
@@ -7,19 +7,19 @@
 
 // Possible scopes.
 const (
-	// All selects every record. It is used between nodes while no node joins the blames of all.
-	All Scope = iota
-	// Own selects the records that this node has blamed or cleared itself, to be sent to the node that joins the
+	// AllRecords selects every record. It is used between nodes while no node joins the blames of all.
+	AllRecords Scope = iota
+	// LocalRecords selects the records that this node has blamed or cleared itself, to be sent to the node that joins the
 	// blames of all nodes.
-	Own
-	// Concerning selects the records that matter to nodes which do not suspect the request themselves. The rest is
+	LocalRecords
+	// SharedRecords selects the records that matter to nodes which do not suspect the request themselves. The rest is
 	// left out, since most suspects of a crash are never suspected again.
-	Concerning
+	SharedRecords
 )
 
 // Since returns the records in scope that changed after a version, and the current version.
 func (r *Registry) Since(version uint64, scope Scope) ([]Entry, uint64) {
-	if version >= r.version || scope == Concerning && version >= r.sharedVersion {
+	if version >= r.version || scope == SharedRecords && version >= r.sharedVersion {
 		return nil, r.version
 	}
 	var out []Entry
@@ -33,9 +33,9 @@
 
 func (rec *record) inScope(s Scope) bool {
 	switch s {
-	case Own:
+	case LocalRecords:
 		return rec.local
-	case Concerning:
+	case SharedRecords:
 		return rec.shared
 	}
 	return true
@@ -54,7 +54,7 @@
 	e := Entry{Request: rec.request, Epoch: rec.epoch, At: r.base.Add(rec.since)}
 	for i := range rec.suspicions {
 		b := &rec.suspicions[i]
-		e.Blames = append(e.Blames, Blame{End: b.crash.id, Ran: b.elapsed, Begun: b.begun, At: r.base.Add(b.at)})
+		e.Suspicions = append(e.Suspicions, Suspicion{End: b.crash.id, Elapsed: b.elapsed, Begun: b.begun, At: r.base.Add(b.at)})
 	}
 	if rec.hasVerdict {
 		e.Verdict = &Verdict{At: r.base.Add(rec.verdictAt), Trials: int(rec.trials)}
@@ -96,7 +96,7 @@
 	}
 	// Another node may have recorded the same event earlier.
 	rec.since = min(rec.since, e.At.Sub(r.base))
-	for _, b := range e.Blames {
+	for _, b := range e.Suspicions {
 		changed = r.addSuspicion(rec, b, now) || changed
 	}
 	return rec, r.mergeVerdict(rec, e.Verdict, now) || changed
@@ -133,12 +133,12 @@
 type Status struct {
 	Request Fingerprint
 	State   State
-	// Belief is the probability, from 0 to 1, that the request crashes engines.
-	Belief float64
-	// Ends counts the crashes that it is suspected of, and Unexplained those that no verdict on another request
+	// Probability is the probability, from 0 to 1, that the request crashes engines.
+	Probability float64
+	// Crashes counts the crashes that it is suspected of, and Unexplained those that no verdict on another request
 	// explains.
-	Ends, Unexplained int
-	Trials            int
+	Crashes, Unexplained int
+	Trials               int
 	// Since is when the verdict was reached or the latest trial began; without a verdict, when the request was first
 	// suspected or last cleared.
 	Since time.Time
@@ -164,15 +164,15 @@
 
 func (r *Registry) status(rec *record) Status {
 	s := Status{
-		Request: rec.request, State: rec.state, Belief: sigmoid(float64(rec.odds)), Ends: len(rec.suspicions),
+		Request: rec.request, State: rec.state, Probability: sigmoid(float64(rec.odds)), Crashes: len(rec.suspicions),
 		Unexplained: int(rec.unexplained), Trials: int(rec.trials), Since: r.base.Add(rec.since),
 	}
 	switch {
 	case rec.hasVerdict:
 		s.Since = r.base.Add(rec.verdictAt)
-		s.Belief = max(s.Belief, quarantineThreshold)
+		s.Probability = max(s.Probability, quarantineThreshold)
 	case len(rec.suspicions) == 0:
-		s.Belief = priorCrashing
+		s.Probability = priorCrashing
 	}
 	return s
 }
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -40,7 +40,7 @@
 
 // crash is one crash of an engine.
 type crash struct {
-	id EndID
+	id CrashID
 	// at is when the crash was noticed, and updatedAt when its latest suspicion arrived, relative to the registry's
 	// base.
 	at, updatedAt time.Duration
@@ -52,7 +52,7 @@
 type Registry struct {
 	base    time.Time
 	records map[Fingerprint]*record
-	crashes map[EndID]*crash
+	crashes map[CrashID]*crash
 	// pending holds the records that wait for their crashes to settle.
 	pending map[*record]bool
 	// transitioned collects the requests whose state changed.
@@ -69,15 +69,15 @@
 
 // NewRegistry returns an empty registry that is complete: it stands alone until SetWhole says otherwise.
 func NewRegistry(now time.Time) *Registry {
-	return &Registry{base: now, records: make(map[Fingerprint]*record), crashes: make(map[EndID]*crash), pending: make(map[*record]bool), complete: true}
+	return &Registry{base: now, records: make(map[Fingerprint]*record), crashes: make(map[CrashID]*crash), pending: make(map[*record]bool), complete: true}
 }
 
 // SetEngines sets the number of engines, which the rate of spontaneous crashes is computed from.
 func (r *Registry) SetEngines(n int) { r.engines = n }
 
-// SetWhole sets whether the blames of all nodes arrive here. Elsewhere most suspects of a crash are unknown, so the
+// SetComplete sets whether the blames of all nodes arrive here. Elsewhere most suspects of a crash are unknown, so the
 // probability leads to no verdict there; only the number of crashes does.
-func (r *Registry) SetWhole(complete bool) {
+func (r *Registry) SetComplete(complete bool) {
 	if complete && !r.complete {
 		for _, rec := range r.records {
 			if len(rec.suspicions) > 0 {
@@ -91,8 +91,8 @@
 // Version increases with each change.
 func (r *Registry) Version() uint64 { return r.version }
 
-// ToldVersion returns the version of the latest change that matters to other nodes.
-func (r *Registry) ToldVersion() uint64 { return r.sharedVersion }
+// SharedVersion returns the version of the latest change that matters to other nodes.
+func (r *Registry) SharedVersion() uint64 { return r.sharedVersion }
 
 // State returns the state of a request; Clear if there is no record.
 func (r *Registry) State(f Fingerprint) State {
@@ -103,9 +103,9 @@
 	return rec.state
 }
 
-// Held notes that a request arrived. It returns whether the request is blocked, and the delay after which its caller
+// Blocked notes that a request arrived. It returns whether the request is blocked, and the delay after which its caller
 // may retry.
-func (r *Registry) Held(f Fingerprint, now time.Time) (retryAfter time.Duration, blocked bool) {
+func (r *Registry) Blocked(f Fingerprint, now time.Time) (retryAfter time.Duration, blocked bool) {
 	rec := r.records[f]
 	if rec == nil {
 		return 0, false
@@ -128,15 +128,15 @@
 	return rec != nil && rec.state == Isolated && len(rec.suspicions) > 1
 }
 
-// Unsettled returns how long the next run of a doubtful request should wait until its latest crash has been
+// SettleDelay returns how long the next run of a doubtful request should wait until its latest crash has been
 // evaluated.
-func (r *Registry) Unsettled(f Fingerprint, now time.Time) time.Duration {
+func (r *Registry) SettleDelay(f Fingerprint, now time.Time) time.Duration {
 	if !r.Doubtful(f) {
 		return 0
 	}
 	at := r.records[f].settledAt()
 	if !r.complete {
-		at += Tell
+		at += PropagationTime
 	}
 	return max(0, at-now.Sub(r.base))
 }
@@ -145,17 +145,17 @@
 func (rec *record) settledAt() time.Duration {
 	var at time.Duration
 	for i := range rec.suspicions {
-		at = max(at, rec.suspicions[i].crash.updatedAt+Settle)
+		at = max(at, rec.suspicions[i].crash.updatedAt+SettleTime)
 	}
 	return at
 }
 
-// Ended records a crash, also if the engine ran no requests.
-func (r *Registry) Ended(id EndID, now time.Time) { r.crash(id, now.Sub(r.base)) }
+// RecordCrash records a crash, also if the engine ran no requests.
+func (r *Registry) RecordCrash(id CrashID, now time.Time) { r.crash(id, now.Sub(r.base)) }
 
 // crash returns the crash with an id, creating it if needed. Of several times at which it was noticed the earliest
 // counts.
-func (r *Registry) crash(id EndID, at time.Duration) *crash {
+func (r *Registry) crash(id CrashID, at time.Duration) *crash {
 	e := r.crashes[id]
 	if e == nil {
 		e = &crash{id: id, at: at}
@@ -166,9 +166,9 @@
 	return e
 }
 
-// Blame records that an engine crashed under requests of this node, with one blame for each, and returns the requests
+// Suspicion records that an engine crashed under requests of this node, with one blame for each, and returns the requests
 // whose state changed.
-func (r *Registry) Blame(requests []Fingerprint, blames []Blame, now time.Time) []Fingerprint {
+func (r *Registry) Suspect(requests []Fingerprint, blames []Suspicion, now time.Time) []Fingerprint {
 	var touched []*record
 	for i, f := range requests {
 		rec := r.record(f, now)
@@ -229,20 +229,20 @@
 
 // addSuspicion adds a blame to a record, and reports whether it changed anything. If several nodes reported the same
 // crash, the shortest time that the request had run counts, since it is the strongest evidence.
-func (r *Registry) addSuspicion(rec *record, b Blame, now time.Time) bool {
+func (r *Registry) addSuspicion(rec *record, b Suspicion, now time.Time) bool {
 	at := b.At.Sub(r.base)
 	e := r.crash(b.End, at)
-	i, found := slices.BinarySearchFunc(rec.suspicions, b.End, func(x suspicion, id EndID) int { return x.crash.id.compare(id) })
+	i, found := slices.BinarySearchFunc(rec.suspicions, b.End, func(x suspicion, id CrashID) int { return x.crash.id.compare(id) })
 	if found {
 		old := &rec.suspicions[i]
-		changed := b.Ran < old.elapsed || b.Begun && !old.begun
-		old.at, old.elapsed, old.begun = min(old.at, at), min(old.elapsed, b.Ran), old.begun || b.Begun
+		changed := b.Elapsed < old.elapsed || b.Begun && !old.begun
+		old.at, old.elapsed, old.begun = min(old.at, at), min(old.elapsed, b.Elapsed), old.begun || b.Begun
 		return changed
 	}
 	if i >= maxSuspicions || len(e.suspects) >= maxSuspects {
 		return false
 	}
-	rec.suspicions = slices.Insert(rec.suspicions, i, suspicion{crash: e, at: at, elapsed: b.Ran, begun: b.Begun})
+	rec.suspicions = slices.Insert(rec.suspicions, i, suspicion{crash: e, at: at, elapsed: b.Elapsed, begun: b.Begun})
 	e.suspects = append(e.suspects, rec)
 	e.updatedAt = now.Sub(r.base)
 	if len(rec.suspicions) > maxSuspicions {
--- a/core/quarantine/registry_test.go
+++ b/core/quarantine/registry_test.go
@@ -21,20 +21,20 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 // suspicionOf returns a blame for a crash of an engine at time d, after the request had run for the time ran.
-func suspicionOf(engine string, d, ran time.Duration) Blame {
-	return Blame{End: EndID{Engine: engine}, Ran: ran, Begun: true, At: at(d)}
+func suspicionOf(engine string, d, ran time.Duration) Suspicion {
+	return Suspicion{End: CrashID{Engine: engine}, Elapsed: ran, Begun: true, At: at(d)}
 }
 
 // crashed records a crash of an engine with its suspects, each of which had run for the time ran.
 func crashed(r *Registry, engine string, d, ran time.Duration, requests ...int) {
 	var fs []Fingerprint
-	var bs []Blame
+	var bs []Suspicion
 	for _, n := range requests {
 		fs, bs = append(fs, request(n)), append(bs, suspicionOf(engine, d, ran))
 	}
-	r.Ended(EndID{Engine: engine}, at(d))
-	r.Blame(fs, bs, at(d))
-	r.Judge(at(d + Settle))
+	r.RecordCrash(CrashID{Engine: engine}, at(d))
+	r.Suspect(fs, bs, at(d))
+	r.Evaluate(at(d + SettleTime))
 }
 
 // numbers returns n consecutive request numbers from first on.
@@ -146,21 +146,21 @@
 	r := NewRegistry(start)
 	r.SetEngines(9)
 	crashed(r, "a", 0, 80*time.Millisecond, numbers(0, 6)...)
-	r.Blame([]Fingerprint{request(0)}, []Blame{suspicionOf("b", time.Second, 80*time.Millisecond)}, at(time.Second))
+	r.Suspect([]Fingerprint{request(0)}, []Suspicion{suspicionOf("b", time.Second, 80*time.Millisecond)}, at(time.Second))
 	if got := r.State(request(0)); got != Isolated {
 		t.Errorf("state is %v before the crash has settled, want isolated", got)
 	}
-	if got := r.Unsettled(request(0), at(time.Second)); got != Settle {
-		t.Errorf("its next run waits for %v, want %v", got, Settle)
+	if got := r.SettleDelay(request(0), at(time.Second)); got != SettleTime {
+		t.Errorf("its next run waits for %v, want %v", got, SettleTime)
 	}
 	var fs []Fingerprint
-	var bs []Blame
+	var bs []Suspicion
 	for n := 1; n < 6; n++ {
 		fs, bs = append(fs, request(n)), append(bs, suspicionOf("b", time.Second, 80*time.Millisecond))
 	}
-	r.Blame(fs, bs, at(time.Second+Settle/2))
-	r.Judge(at(time.Second + Settle))
-	r.Judge(at(time.Second + 2*Settle))
+	r.Suspect(fs, bs, at(time.Second+SettleTime/2))
+	r.Evaluate(at(time.Second + SettleTime))
+	r.Evaluate(at(time.Second + 2*SettleTime))
 	if diff := cmp.Diff([]string{"isolated", "isolated"}, states(r, 0, 5)); diff != "" {
 		t.Errorf("states after all suspects were reported (-want +got):\n%s", diff)
 	}
@@ -171,14 +171,14 @@
 func TestNoVerdictByProbabilityWhileIncomplete(t *testing.T) {
 	r := NewRegistry(start)
 	r.SetEngines(9)
-	r.SetWhole(false)
+	r.SetComplete(false)
 	crashed(r, "a", 0, 80*time.Millisecond, 0)
 	crashed(r, "b", time.Second, 80*time.Millisecond, 0)
 	if diff := cmp.Diff([]string{"isolated"}, states(r, 0)); diff != "" {
 		t.Errorf("states while incomplete (-want +got):\n%s", diff)
 	}
-	r.SetWhole(true)
-	r.Judge(at(2 * time.Second))
+	r.SetComplete(true)
+	r.Evaluate(at(2 * time.Second))
 	if diff := cmp.Diff([]string{"quarantined"}, states(r, 0)); diff != "" {
 		t.Errorf("states when complete (-want +got):\n%s", diff)
 	}
@@ -190,11 +190,11 @@
 	r.SetEngines(9)
 	crashed(r, "a", 0, 80*time.Millisecond, 0)
 	crashed(r, "b", time.Second, 80*time.Millisecond, 0)
-	f, verdict := request(0), time.Second+Settle
+	f, verdict := request(0), time.Second+SettleTime
 	var got []string
 	for d := time.Duration(0); d < 30*time.Hour; d += 30 * time.Second {
 		now := at(verdict + d)
-		again, held := r.Held(f, now)
+		again, held := r.Blocked(f, now)
 		if !held {
 			t.Fatalf("no longer quarantined after %v", d)
 		}
@@ -271,8 +271,8 @@
 		}
 		// At most two crashes, so that merging leads to no verdict.
 		for _, engine := range []string{"a", "b"}[:rapid.IntRange(0, 2).Draw(t, "blames")] {
-			e.Blames = append(e.Blames, Blame{
-				End: EndID{Engine: engine}, Ran: time.Duration(rapid.IntRange(0, 5).Draw(t, "ran")) * time.Second,
+			e.Suspicions = append(e.Suspicions, Suspicion{
+				End: CrashID{Engine: engine}, Elapsed: time.Duration(rapid.IntRange(0, 5).Draw(t, "ran")) * time.Second,
 				Begun: rapid.Bool().Draw(t, "begun"), At: at(time.Duration(rapid.IntRange(0, 9).Draw(t, "endAt")) * time.Second),
 			})
 		}
@@ -286,7 +286,7 @@
 
 // sortedEntries returns all entries of a registry, sorted by request.
 func sortedEntries(r *Registry) []Entry {
-	out, _ := r.Since(0, All)
+	out, _ := r.Since(0, AllRecords)
 	slices.SortFunc(out, func(a, b Entry) int { return slices.Compare(a.Request[:], b.Request[:]) })
 	return out
 }
@@ -297,19 +297,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		entries := drawEntries(t)
 		first := NewRegistry(start)
-		first.SetWhole(false)
+		first.SetComplete(false)
 		first.Merge(entries, now)
 
 		shuffled := rapid.Permutation(append(slices.Clone(entries), entries[:len(entries)/2]...)).Draw(t, "order")
 		second, third := NewRegistry(start), NewRegistry(start)
-		second.SetWhole(false)
-		third.SetWhole(false)
+		second.SetComplete(false)
+		third.SetComplete(false)
 		cut := rapid.IntRange(0, len(shuffled)).Draw(t, "cut")
 		second.Merge(shuffled[:cut], now)
 		for _, e := range shuffled[cut:] {
 			third.Merge([]Entry{e}, now)
 		}
-		told, _ := third.Since(0, All)
+		told, _ := third.Since(0, AllRecords)
 		second.Merge(told, now)
 		if diff := cmp.Diff(sortedEntries(first), sortedEntries(second)); diff != "" {
 			t.Fatalf("results of two merge orders differ (-first +second):\n%s", diff)
--- a/core/quarantine/state.go
+++ b/core/quarantine/state.go
@@ -11,7 +11,7 @@
 	// little load and no other suspects.
 	Suspected
 	// Isolated: it is one of few suspects. It is placed like a suspected request, and its copies run one at a time
-	// (see [Turns]).
+	// (see [RunLocks]).
 	Isolated
 	// Quarantined: it is sent to no engine.
 	Quarantined
--- a/core/quarantine/tracker.go
+++ b/core/quarantine/tracker.go
@@ -21,8 +21,8 @@
 	idleTTL = time.Minute
 )
 
-// Life identifies one incarnation of an engine.
-type Life struct {
+// Incarnation identifies one incarnation of an engine.
+type Incarnation struct {
 	Engine string
 	// Start is the start time in Unix milliseconds; 0 if the engine does not publish it.
 	Start int64
@@ -31,7 +31,7 @@
 // Run is one attempt of a request at an engine, from the moment of sending.
 type Run struct {
 	request     Fingerprint
-	incarnation Life
+	incarnation Incarnation
 	sentAt      time.Time
 	// begunAt is when the engine began to answer; zero before.
 	begunAt time.Time
@@ -58,7 +58,7 @@
 // Tracker tracks which requests of a node run on which engines, to find the suspects of a crash. It is not safe for
 // concurrent use.
 type Tracker struct {
-	incarnations map[Life]*engineRuns
+	incarnations map[Incarnation]*engineRuns
 	// good holds the requests that were answered successfully since goodSince, and previousGood those of the period
 	// before.
 	good, previousGood map[Fingerprint]bool
@@ -68,7 +68,7 @@
 
 // NewTracker returns a tracker with no runs.
 func NewTracker() *Tracker {
-	return &Tracker{incarnations: make(map[Life]*engineRuns), good: make(map[Fingerprint]bool)}
+	return &Tracker{incarnations: make(map[Incarnation]*engineRuns), good: make(map[Fingerprint]bool)}
 }
 
 // recordGood adds a request that was answered successfully.
@@ -84,7 +84,7 @@
 	return (t.good[f] || t.previousGood[f]) && now.Sub(t.goodSince) <= goodTTL
 }
 
-func (t *Tracker) runsOf(l Life, now time.Time) *engineRuns {
+func (t *Tracker) runsOf(l Incarnation, now time.Time) *engineRuns {
 	er := t.incarnations[l]
 	if er == nil {
 		er = &engineRuns{runs: make(map[*Run]bool)}
@@ -95,7 +95,7 @@
 }
 
 // Send records that a request is being sent to an engine.
-func (t *Tracker) Send(f Fingerprint, l Life, now time.Time) *Run {
+func (t *Tracker) Send(f Fingerprint, l Incarnation, now time.Time) *Run {
 	run := &Run{request: f, incarnation: l, sentAt: now}
 	t.runsOf(l, now).runs[run] = true
 	return run
@@ -129,43 +129,43 @@
 	}
 }
 
-// Leave records that the attempt was abandoned without an answer.
-func (t *Tracker) Leave(run *Run, now time.Time) { run.stoppedAt = now }
+// Abandon records that the attempt was abandoned without an answer.
+func (t *Tracker) Abandon(run *Run, now time.Time) { run.stoppedAt = now }
 
 // Break records that the connection broke before the answer was complete. If the engine is known to have just
 // crashed, it returns the blame for that crash and true.
-func (t *Tracker) Break(run *Run, now time.Time) (blame Blame, crashed bool) {
+func (t *Tracker) Break(run *Run, now time.Time) (blame Suspicion, crashed bool) {
 	er := t.runsOf(run.incarnation, now)
 	run.stoppedAt, run.broke = now, true
 	if er.draining || t.wasGood(run.request, now) || er.crashedAt.IsZero() || now.Sub(er.crashedAt) > breakWindow || run.sentAt.After(er.crashedAt) {
-		return Blame{}, false
+		return Suspicion{}, false
 	}
 	delete(er.runs, run)
 	return run.suspicion(er.crashID(run.incarnation), er.crashedAt), true
 }
 
 // suspicion returns the blame of the run for a crash.
-func (run *Run) suspicion(id EndID, at time.Time) Blame {
+func (run *Run) suspicion(id CrashID, at time.Time) Suspicion {
 	from := run.sentAt
 	if !run.begunAt.IsZero() {
 		from = run.begunAt
 	}
 	// Whether an abandoned request was still on the engine is unknown, so it has the weight of one that had not
 	// begun.
-	return Blame{End: id, Ran: max(0, at.Sub(from)), Begun: run.broke && !run.begunAt.IsZero(), At: at}
+	return Suspicion{End: id, Elapsed: max(0, at.Sub(from)), Begun: run.broke && !run.begunAt.IsZero(), At: at}
 }
 
-func (er *engineRuns) crashID(l Life) EndID {
-	return EndID{Engine: l.Engine, Start: l.Start, N: er.crashes}
+func (er *engineRuns) crashID(l Incarnation) CrashID {
+	return CrashID{Engine: l.Engine, Start: l.Start, N: er.crashes}
 }
 
-// End records that an engine crashed, and returns the crash with its suspects and their blames. The suspects are the
+// EngineCrashed records that an engine crashed, and returns the crash with its suspects and their blames. The suspects are the
 // requests whose connections broke or which were abandoned just before. The result is empty if the shutdown was
 // planned.
-func (t *Tracker) End(l Life, now time.Time) (id EndID, requests []Fingerprint, blames []Blame) {
+func (t *Tracker) EngineCrashed(l Incarnation, now time.Time) (id CrashID, requests []Fingerprint, blames []Suspicion) {
 	er := t.runsOf(l, now)
 	if er.draining {
-		return EndID{}, nil, nil
+		return CrashID{}, nil, nil
 	}
 	if !er.crashedAt.IsZero() && er.answered {
 		er.crashes++
@@ -198,28 +198,28 @@
 
 // Restart records that an engine has started again, so that its former incarnation has crashed. Attempts that still
 // wait for an answer, and those abandoned within restartWindow, are suspects too.
-func (t *Tracker) Restart(former Life, now time.Time) (id EndID, requests []Fingerprint, blames []Blame) {
+func (t *Tracker) Restart(former Incarnation, now time.Time) (id CrashID, requests []Fingerprint, blames []Suspicion) {
 	if er := t.incarnations[former]; er != nil && !er.draining && er.crashedAt.IsZero() {
 		for run := range er.runs {
 			if run.stoppedAt.IsZero() || now.Sub(run.stoppedAt) <= restartWindow {
 				run.broke, run.stoppedAt = true, now
 			}
 		}
-		id, requests, blames = t.End(former, now)
+		id, requests, blames = t.EngineCrashed(former, now)
 	}
 	delete(t.incarnations, former)
 	return id, requests, blames
 }
 
-// Ended reports whether an engine is known to have crashed within breakWindow.
-func (t *Tracker) Ended(l Life, now time.Time) bool {
+// RecordCrash reports whether an engine is known to have crashed within breakWindow.
+func (t *Tracker) Crashed(l Incarnation, now time.Time) bool {
 	er := t.incarnations[l]
 	return er != nil && !er.crashedAt.IsZero() && now.Sub(er.crashedAt) <= breakWindow
 }
 
-// Leaving records whether an engine's shutdown is planned or its entry is gone. Broken connections are then no sign
+// SetDraining records whether an engine's shutdown is planned or its entry is gone. Broken connections are then no sign
 // of a crash.
-func (t *Tracker) Leaving(l Life, draining bool, now time.Time) {
+func (t *Tracker) SetDraining(l Incarnation, draining bool, now time.Time) {
 	if draining || t.incarnations[l] != nil {
 		t.runsOf(l, now).draining = draining
 	}
@@ -239,5 +239,5 @@
 	}
 }
 
-// Lives returns the number of incarnations of engines that are tracked.
-func (t *Tracker) Lives() int { return len(t.incarnations) }
+// Incarnations returns the number of incarnations of engines that are tracked.
+func (t *Tracker) Incarnations() int { return len(t.incarnations) }
--- a/core/quarantine/tracker_test.go
+++ b/core/quarantine/tracker_test.go
@@ -10,14 +10,14 @@
 
 // tracked is a crash and its suspects.
 type tracked struct {
-	End      EndID
+	End      CrashID
 	Requests []int
 }
 
 // TestTracker checks which requests are suspects of a crash.
 func TestTracker(t *testing.T) {
-	life := Life{Engine: "a", Start: 7}
-	untold := Life{Engine: "b"}
+	life := Incarnation{Engine: "a", Start: 7}
+	untold := Incarnation{Engine: "b"}
 	ms := func(n int) time.Time { return at(time.Duration(n) * time.Millisecond) }
 	// numbered returns the numbers of those requests that are below ten.
 	numbered := func(fs []Fingerprint) []int {
@@ -29,8 +29,8 @@
 		}
 		return out
 	}
-	end := func(tr *Tracker, l Life, now time.Time) tracked {
-		id, fs, _ := tr.End(l, now)
+	end := func(tr *Tracker, l Incarnation, now time.Time) tracked {
+		id, fs, _ := tr.EngineCrashed(l, now)
 		return tracked{id, numbered(fs)}
 	}
 	tests := []struct {
@@ -44,7 +44,7 @@
 			tr.Answer(good, true, ms(20))
 			tr.Break(broken, ms(5000))
 			return []tracked{end(tr, life, ms(5005))}
-		}, []tracked{{EndID{Engine: "a", Start: 7}, []int{2}}}},
+		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{2}}}},
 		{"what breaks just after", func(tr *Tracker) []tracked {
 			first, later, next := tr.Send(request(0), life, ms(0)), tr.Send(request(1), life, ms(0)), tr.Send(request(2), life, ms(50))
 			tr.Break(first, ms(10))
@@ -55,23 +55,23 @@
 				}
 			}
 			return out
-		}, []tracked{{EndID{Engine: "a", Start: 7}, []int{0}}, {EndID{Engine: "a", Start: 7}, []int{1}}}},
+		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{0}}, {CrashID{Engine: "a", Start: 7}, []int{1}}}},
 		{"what was given up just before, with less weight", func(tr *Tracker) []tracked {
 			early, late, broken := tr.Send(request(0), life, ms(0)), tr.Send(request(1), life, ms(0)), tr.Send(request(2), life, ms(0))
 			for _, run := range []*Run{early, late, broken} {
 				tr.Begin(run, ms(5))
 			}
-			tr.Leave(early, ms(100))
-			tr.Leave(late, ms(900))
+			tr.Abandon(early, ms(100))
+			tr.Abandon(late, ms(900))
 			tr.Break(broken, ms(1000))
-			id, fs, bs := tr.End(life, ms(1005))
+			id, fs, bs := tr.EngineCrashed(life, ms(1005))
 			for i, b := range bs {
 				if b.Begun != (fs[i] == request(2)) {
 					t.Errorf("request %v: begun is %t", numbered(fs[i:i+1]), b.Begun)
 				}
 			}
 			return []tracked{{id, numbered(fs)}}
-		}, []tracked{{EndID{Engine: "a", Start: 7}, []int{1, 2}}}},
+		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{1, 2}}}},
 		{"not what has just been answered well elsewhere", func(tr *Tracker) []tracked {
 			tr.Answer(tr.Send(request(0), untold, ms(0)), true, ms(5))
 			tr.Answer(tr.Send(request(1), untold, ms(0)), false, ms(5))
@@ -79,10 +79,10 @@
 				tr.Break(tr.Send(request(n), life, ms(6)), ms(10))
 			}
 			return []tracked{end(tr, life, ms(12))}
-		}, []tracked{{EndID{Engine: "a", Start: 7}, []int{1, 2}}}},
+		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{1, 2}}}},
 		{"a planned end", func(tr *Tracker) []tracked {
 			run := tr.Send(request(0), life, ms(0))
-			tr.Leaving(life, true, ms(5))
+			tr.SetDraining(life, true, ms(5))
 			tr.Break(run, ms(10))
 			return []tracked{end(tr, life, ms(15))}
 		}, []tracked{{}}},
@@ -98,29 +98,29 @@
 				out = append(out, end(tr, untold, ms(now+12)))
 			}
 			return out
-		}, []tracked{{EndID{Engine: "b"}, []int{0}}, {EndID{Engine: "b"}, []int{1}}, {EndID{Engine: "b", N: 1}, []int{2}}}},
+		}, []tracked{{CrashID{Engine: "b"}, []int{0}}, {CrashID{Engine: "b"}, []int{1}}, {CrashID{Engine: "b", N: 1}, []int{2}}}},
 		{"a new start: also what waits, or was given up", func(tr *Tracker) []tracked {
 			tr.Send(request(0), life, ms(0))
 			left := tr.Send(request(1), life, ms(0))
-			tr.Leave(left, ms(100))
+			tr.Abandon(left, ms(100))
 			early := tr.Send(request(2), life, ms(0))
-			tr.Leave(early, ms(10))
+			tr.Abandon(early, ms(10))
 			id, fs, _ := tr.Restart(life, ms(10050))
 			return []tracked{{id, numbered(fs)}}
-		}, []tracked{{EndID{Engine: "a", Start: 7}, []int{0, 1}}}},
+		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{0, 1}}}},
 		{"a new start: not what never reached the engine", func(tr *Tracker) []tracked {
 			tr.Drop(tr.Send(request(0), life, ms(0)))
 			tr.Send(request(1), life, ms(0))
 			id, fs, _ := tr.Restart(life, ms(50))
 			return []tracked{{id, numbered(fs)}}
-		}, []tracked{{EndID{Engine: "a", Start: 7}, []int{1}}}},
+		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{1}}}},
 		{"a new start after an end that is known", func(tr *Tracker) []tracked {
 			run := tr.Send(request(0), life, ms(0))
 			tr.Break(run, ms(10))
 			out := []tracked{end(tr, life, ms(12))}
 			id, fs, _ := tr.Restart(life, ms(3000))
 			return append(out, tracked{id, numbered(fs)})
-		}, []tracked{{EndID{Engine: "a", Start: 7}, []int{0}}, {}}},
+		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{0}}, {}}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -134,9 +134,9 @@
 // TestTrackerExpires guards against a memory leak: finished and abandoned runs must be removed.
 func TestTrackerExpires(t *testing.T) {
 	tr := NewTracker()
-	run := tr.Send(request(0), Life{Engine: "a"}, start)
-	tr.Leave(run, start)
-	tr.Answer(tr.Send(request(1), Life{Engine: "b"}, start), true, start)
+	run := tr.Send(request(0), Incarnation{Engine: "a"}, start)
+	tr.Abandon(run, start)
+	tr.Answer(tr.Send(request(1), Incarnation{Engine: "b"}, start), true, start)
 	tr.Expire(at(2 * idleTTL))
 	if len(tr.incarnations) != 0 {
 		t.Errorf("%d incarnations are left", len(tr.incarnations))
--- a/core/quarantine/turns.go
+++ b/core/quarantine/turns.go
@@ -8,14 +8,14 @@
 	runLockTTL = 3 * time.Second
 	// runLockCooldown is how long a lock stays taken after a run that no engine answered. By then every node
 	// knows the resulting state of the request.
-	runLockCooldown = Settle + Tell
+	runLockCooldown = SettleTime + PropagationTime
 	// maxRunLocks bounds the number of locks held.
 	maxRunLocks = 4096
 )
 
-// Turns holds one run lock per isolated request, so that its copies run one after the other. Copies that run
+// RunLocks holds one run lock per isolated request, so that its copies run one after the other. Copies that run
 // concurrently could crash several engines before the first crash is evaluated. It is not safe for concurrent use.
-type Turns struct {
+type RunLocks struct {
 	locks map[Fingerprint]runLock
 }
 
@@ -25,12 +25,12 @@
 	until  time.Time
 }
 
-// NewTurns returns an empty set of run locks.
-func NewTurns() *Turns { return &Turns{locks: make(map[Fingerprint]runLock)} }
+// NewRunLocks returns an empty set of run locks.
+func NewRunLocks() *RunLocks { return &RunLocks{locks: make(map[Fingerprint]runLock)} }
 
-// Take acquires the run lock of a request for a run, which holder identifies. It returns 0 if it succeeded, and otherwise
+// Acquire acquires the run lock of a request for a run, which holder identifies. It returns 0 if it succeeded, and otherwise
 // the delay after which to retry.
-func (t *Turns) Take(f Fingerprint, holder string, now time.Time) (retryAfter time.Duration) {
+func (t *RunLocks) Acquire(f Fingerprint, holder string, now time.Time) (retryAfter time.Duration) {
 	if left := t.locks[f].until.Sub(now); left > 0 {
 		return left
 	}
@@ -46,7 +46,7 @@
 }
 
 // Release releases a run lock; answered is true if an engine answered the run.
-func (t *Turns) Release(f Fingerprint, holder string, answered bool, now time.Time) {
+func (t *RunLocks) Release(f Fingerprint, holder string, answered bool, now time.Time) {
 	switch old, ok := t.locks[f]; {
 	case !ok || old.holder != holder:
 		// The lock has expired, and another run may hold it.
@@ -58,7 +58,7 @@
 }
 
 // expire removes expired locks.
-func (t *Turns) expire(now time.Time) {
+func (t *RunLocks) expire(now time.Time) {
 	for f, old := range t.locks {
 		if !now.Before(old.until) {
 			delete(t.locks, f)
--- a/core/quarantine/turns_test.go
+++ b/core/quarantine/turns_test.go
@@ -14,16 +14,16 @@
 	type step struct {
 		what  string
 		after time.Duration
-		do    func(t *Turns, now time.Time) time.Duration
+		do    func(t *RunLocks, now time.Time) time.Duration
 		want  time.Duration
 	}
-	take := func(f Fingerprint, by string) func(*Turns, time.Time) time.Duration {
-		return func(t *Turns, now time.Time) time.Duration { return t.Take(f, by, now) }
+	take := func(f Fingerprint, by string) func(*RunLocks, time.Time) time.Duration {
+		return func(t *RunLocks, now time.Time) time.Duration { return t.Acquire(f, by, now) }
 	}
-	release := func(by string, well bool) func(*Turns, time.Time) time.Duration {
-		return func(t *Turns, now time.Time) time.Duration { t.Release(f, by, well, now); return 0 }
+	release := func(by string, well bool) func(*RunLocks, time.Time) time.Duration {
+		return func(t *RunLocks, now time.Time) time.Duration { t.Release(f, by, well, now); return 0 }
 	}
-	turns := NewTurns()
+	turns := NewRunLocks()
 	for _, s := range []step{
 		{"the first", 0, take(f, "a"), 0},
 		{"another request", 0, take(g, "b"), 0},
@@ -47,7 +47,7 @@
 // TestOneCopyAtATime checks that no two copies of a request run within the TTL of a run lock.
 func TestOneCopyAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		turns, now := NewTurns(), time.Unix(1000, 0)
+		turns, now := NewRunLocks(), time.Unix(1000, 0)
 		running := make(map[Fingerprint]time.Time)
 		for i := range 200 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
@@ -57,7 +57,7 @@
 			case ok && rapid.Bool().Draw(t, "ends"):
 				turns.Release(f, since.String(), rapid.Bool().Draw(t, "well"), now)
 				delete(running, f)
-			case turns.Take(f, now.String(), now) > 0:
+			case turns.Acquire(f, now.String(), now) > 0:
 			case ok && now.Sub(since) < runLockTTL:
 				t.Fatalf("step %d: a second copy runs %v after the first", i, now.Sub(since))
 			default:
@@ -69,10 +69,10 @@
 
 // TestExpiredRunLocksRemoved checks that expired locks are removed when their number reaches the limit.
 func TestExpiredRunLocksRemoved(t *testing.T) {
-	turns, now := NewTurns(), time.Unix(1000, 0)
+	turns, now := NewRunLocks(), time.Unix(1000, 0)
 	for i := range 2 * maxRunLocks {
 		now = now.Add(runLockTTL / maxRunLocks)
-		turns.Take(Fingerprint{byte(i), byte(i >> 8)}, "a", now)
+		turns.Acquire(Fingerprint{byte(i), byte(i >> 8)}, "a", now)
 	}
 	if n := len(turns.locks); n > maxRunLocks {
 		t.Errorf("%d locks are held, want %d at most", n, maxRunLocks)
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -145,7 +145,7 @@
 	for _, f := range q.active {
 		for _, it := range f.items {
 			d := it.Deadline
-			if !ok || Sooner(d, next, now) {
+			if !ok || Before(d, next, now) {
 				next = d
 			}
 			if d.After(last) {
@@ -157,8 +157,8 @@
 	return next, last, ok
 }
 
-// Sooner reports whether deadline a goes before deadline b. Deadlines after now go before those that have passed.
-func Sooner(a, b, now time.Time) bool {
+// Before reports whether deadline a goes before deadline b. Deadlines after now go before those that have passed.
+func Before(a, b, now time.Time) bool {
 	if past := !a.After(now); past != !b.After(now) {
 		return !past
 	}
--- a/core/quota/bound.go
+++ b/core/quota/bound.go
@@ -30,9 +30,9 @@
 	Share, Slack float64
 }
 
-// GrantLife is how long after its grant request was sent a grant for a cold endpoint is valid. It keeps machines that
+// ColdGrantTTL is how long after its grant request was sent a grant for a cold endpoint is valid. It keeps machines that
 // were suspended and resume together from sending everything that was granted before at once.
-const GrantLife = 300 * time.Millisecond
+const ColdGrantTTL = 300 * time.Millisecond
 
 // Fractions of the requests that a cold endpoint may get in one second. Two granters at once must fit: a node that
 // moves from one to the other counts at both for [AttachmentTTL], which is longer than that second. The remainder
@@ -42,9 +42,9 @@
 	coldPartitionedRate, coldPartitionedBurst = 0.1, 0.05
 )
 
-// OfCold returns the bound on requests to a cold endpoint that accepts perSecond requests per second from all nodes
+// Bound returns the bound on requests to a cold endpoint that accepts perSecond requests per second from all nodes
 // together. At least minNodes nodes share the traffic.
-func (t ColdTolerance) OfCold(perSecond float64, minNodes int) Bound {
+func (t ColdTolerance) Bound(perSecond float64, minNodes int) Bound {
 	allowed := perSecond*max(1, t.Share) + t.Slack
 	return Bound{
 		Rate: min(perSecond, coldRate*allowed), Capacity: max(1, coldCapacity*allowed),
@@ -63,8 +63,8 @@
 	endpointBurstSeconds = 0.5
 )
 
-// OfEndpoint returns the bound on requests to an endpoint that accepts perSecond requests per second from all nodes
+// EndpointBound returns the bound on requests to an endpoint that accepts perSecond requests per second from all nodes
 // together. At least minNodes nodes share the traffic.
-func OfEndpoint(perSecond float64, minNodes int) Bound {
+func EndpointBound(perSecond float64, minNodes int) Bound {
 	return Bound{Rate: perSecond, Capacity: endpointBaseCapacity + endpointBurstSeconds*perSecond, PartitionedRate: partitionedShare * perSecond, PartitionedBurst: partitionedShare, MinNodes: minNodes}
 }
--- a/core/quota/endpoint_test.go
+++ b/core/quota/endpoint_test.go
@@ -34,7 +34,7 @@
 
 // simNode is a node that sends a request to one endpoint whenever it may.
 type simNode struct {
-	purse *Purse
+	purse *Allowance
 	// granter is set while the node has the granter's role.
 	granter *Granter
 	// granterIndex is the index of the node that this node believes to be the granter.
@@ -73,7 +73,7 @@
 }
 
 func newSimDeployment(nodes int, limit float64, seed uint64) *simDeployment {
-	s := &simDeployment{r: rand.New(rand.NewPCG(seed, 7)), now: start, limit: limit, rule: limitRule, bound: func(n int) Bound { return OfEndpoint(limit, n) }}
+	s := &simDeployment{r: rand.New(rand.NewPCG(seed, 7)), now: start, limit: limit, rule: limitRule, bound: func(n int) Bound { return EndpointBound(limit, n) }}
 	for range nodes {
 		s.nodes = append(s.nodes, &simNode{})
 	}
@@ -93,7 +93,7 @@
 func (s *simDeployment) restart(i int) {
 	s.incarnations++
 	old := s.nodes[i]
-	*old = simNode{purse: NewPurse(strconv.Itoa(s.incarnations), Tolerance{}), granterIndex: old.granterIndex, island: old.island, disturbedAt: s.now, reportAt: s.now.Add(s.randomBetween(0, simReportInterval))}
+	*old = simNode{purse: NewAllowance(strconv.Itoa(s.incarnations), Tolerance{}), granterIndex: old.granterIndex, island: old.island, disturbedAt: s.now, reportAt: s.now.Add(s.randomBetween(0, simReportInterval))}
 }
 
 // makeGranter makes a node the granter; all nodes of its island see that at once.
@@ -140,7 +140,7 @@
 	}
 	name := strconv.Itoa(i)
 	if g := s.reachableGranter(n); g != nil && !s.now.Before(n.reportAt) {
-		g.Heard(name, n.purse.Alone(), s.now)
+		g.Observe(name, n.purse.Partitioned(), s.now)
 		n.reportAt = s.now.Add(s.randomBetween(simReportInterval/4, simReportInterval))
 	}
 	if !n.requestedAt.IsZero() {
@@ -152,14 +152,14 @@
 	}
 	of := s.bound(len(s.nodes))
 	switch d := n.purse.TakeBound("e", of, 1, s.now); {
-	case d.Step == Pass:
+	case d.Step == Admitted:
 		s.send(n)
-	case d.Step == AskFor:
-		s.ask(name, n, of, d.Ahead)
-	case n.purse.Alone() && s.now.UnixNano()%int64(200*time.Millisecond) == 0:
+	case d.Step == NeedsGrant:
+		s.ask(name, n, of, d.Prefetch)
+	case n.purse.Partitioned() && s.now.UnixNano()%int64(200*time.Millisecond) == 0:
 		s.ask(name, n, of, 0)
 	default:
-		n.blockedUntil = s.now.Add(d.After)
+		n.blockedUntil = s.now.Add(d.RetryAfter)
 	}
 }
 
@@ -177,8 +177,8 @@
 	if g == nil {
 		return
 	}
-	g.Heard(name, false, s.now)
-	a := g.AskBound("e", of, 1, ahead, s.now)
+	g.Observe(name, false, s.now)
+	a := g.GrantBound("e", of, 1, ahead, s.now)
 	n.answer, n.members, n.answerAt = &a, g.Members(s.now), s.now.Add(s.randomBetween(time.Millisecond, 60*time.Millisecond))
 }
 
@@ -190,17 +190,17 @@
 	n.requestedAt = time.Time{}
 	switch {
 	case n.answer == nil:
-		n.purse.Lost(asked, s.now)
-	case n.answer.Granted > 0 && s.rule.includeDisturbed && s.now.Sub(asked) > GrantLife:
-		n.purse.Heard(asked, n.members)
+		n.purse.Unanswered(asked, s.now)
+	case n.answer.Granted > 0 && s.rule.includeDisturbed && s.now.Sub(asked) > ColdGrantTTL:
+		n.purse.Answered(asked, n.members)
 	case n.answer.Granted > 0:
-		n.purse.Heard(asked, n.members)
+		n.purse.Answered(asked, n.members)
 		n.purse.Granted("e", n.answer.Granted, 1, asked)
 		s.send(n)
 	default:
-		n.purse.Heard(asked, n.members)
-		n.purse.Refused("e", 1, n.answer.After, s.now)
-		n.blockedUntil = s.now.Add(n.answer.After)
+		n.purse.Answered(asked, n.members)
+		n.purse.Refused("e", 1, n.answer.RetryAfter, s.now)
+		n.blockedUntil = s.now.Add(n.answer.RetryAfter)
 	}
 }
 
@@ -283,9 +283,9 @@
 			if s.r.IntN(len(s.nodes)*50) == 0 {
 				s.send(n)
 			}
-		}, OfEndpoint},
+		}, EndpointBound},
 		{"parts rounded up", nil, func(limit float64, nodes int) Bound {
-			b := OfEndpoint(limit, nodes)
+			b := EndpointBound(limit, nodes)
 			b.PartitionedRate = float64(nodes) * max(1, limit/float64(nodes))
 			return b
 		}},
@@ -297,7 +297,7 @@
 				n.granter.buckets = make(map[string]*bucket)
 				n.granter.startedAt = s.now.Add(-time.Minute)
 			}
-		}, OfEndpoint},
+		}, EndpointBound},
 	}
 	for _, f := range faults {
 		t.Run(f.name, func(t *testing.T) {
@@ -318,7 +318,7 @@
 func newColdDeployment(nodes int, perSecond float64, seed uint64) *simDeployment {
 	s := newSimDeployment(nodes, perSecond, seed)
 	s.rule, s.bound = coldRule, func(n int) Bound {
-		return ColdTolerance{Share: coldRule.share, Slack: coldRule.slack}.OfCold(perSecond, n)
+		return ColdTolerance{Share: coldRule.share, Slack: coldRule.slack}.Bound(perSecond, n)
 	}
 	return s
 }
--- a/core/quota/granter.go
+++ b/core/quota/granter.go
@@ -76,8 +76,8 @@
 	return &Granter{tolerance: tolerance, seenAt: make(map[string]time.Time), attachedAt: make(map[string]time.Time), initialMembers: members, startedAt: now, buckets: make(map[string]*bucket)}
 }
 
-// Heard records a message from a node. A partitioned node spends its own share, so the granter does not.
-func (g *Granter) Heard(node string, partitioned bool, now time.Time) {
+// Answered records a message from a node. A partitioned node spends its own share, so the granter does not.
+func (g *Granter) Observe(node string, partitioned bool, now time.Time) {
 	g.seenAt[node] = now
 	if partitioned {
 		delete(g.attachedAt, node)
@@ -106,23 +106,23 @@
 type Answer struct {
 	// Granted is the number of units granted: at least the request's need, or 0.
 	Granted float64
-	// After is the delay until the needed units will be available, behind all requests that were deferred before. It
+	// RetryAfter is the delay until the needed units will be available, behind all requests that were deferred before. It
 	// is set only where nothing is granted.
-	After time.Duration
+	RetryAfter time.Duration
 }
 
-// Ask grants the units that one request of a customer needs, and ahead units more for later requests if the bucket
+// Grant grants the units that one request of a customer needs, and ahead units more for later requests if the bucket
 // has them. A request that needs more than the burst is granted when the bucket is full, which leaves the bucket
 // negative.
-func (g *Granter) Ask(name string, l customer.Limit, need, ahead float64, now time.Time) Answer {
+func (g *Granter) Grant(name string, l customer.Limit, need, ahead float64, now time.Time) Answer {
 	if !l.Limited() {
 		return Answer{Granted: max(0, need) + max(0, ahead)}
 	}
-	return g.AskBound(name, g.tolerance.Bound(l), need, ahead, now)
+	return g.GrantBound(name, g.tolerance.Bound(l), need, ahead, now)
 }
 
-// AskBound is like Ask, for any bound; name is that of its bucket.
-func (g *Granter) AskBound(name string, of Bound, need, ahead float64, now time.Time) Answer {
+// GrantBound is like Ask, for any bound; name is that of its bucket.
+func (g *Granter) GrantBound(name string, of Bound, need, ahead float64, now time.Time) Answer {
 	need, ahead = max(0, need), max(0, ahead)
 	share := g.share(now)
 	b := g.fill(name, of, share, now)
@@ -134,7 +134,7 @@
 		b.level -= need
 		return Answer{Granted: need}
 	default:
-		return Answer{After: b.retryAfter(min(need, capacity), of.Rate*share, need)}
+		return Answer{RetryAfter: b.retryAfter(min(need, capacity), of.Rate*share, need)}
 	}
 }
 
--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -36,29 +36,29 @@
 
 // Possible steps.
 const (
-	// Pass: the request was charged and may run.
-	Pass Step = iota
-	// AskFor: the request needs a grant from the granter.
-	AskFor
-	// Over: the request exceeds the limit and is refused.
-	Over
-	// Unknown: the request is refused because the node's share is not known: it is partitioned and has had no answer
+	// Admitted: the request was charged and may run.
+	Admitted Step = iota
+	// NeedsGrant: the request needs a grant from the granter.
+	NeedsGrant
+	// OverLimit: the request exceeds the limit and is refused.
+	OverLimit
+	// ShareUnknown: the request is refused because the node's share is not known: it is partitioned and has had no answer
 	// from a granter for PartitionedTTL.
-	Unknown
+	ShareUnknown
 )
 
 // Decision is a step with its parameters.
 type Decision struct {
 	Step Step
-	// Ahead is how many units to request beyond the request's need; set with AskFor.
-	Ahead float64
-	// After is the delay after which to retry; set with Over and Unknown.
-	After time.Duration
+	// Prefetch is how many units to request beyond the request's need; set with AskFor.
+	Prefetch float64
+	// RetryAfter is the delay after which to retry; set with Over and Unknown.
+	RetryAfter time.Duration
 }
 
-// Purse holds the units that one node may spend, by customer or endpoint: credit from a granter, or the node's own
+// Allowance holds the units that one node may spend, by customer or endpoint: credit from a granter, or the node's own
 // share while it is partitioned. It is not safe for concurrent use.
-type Purse struct {
+type Allowance struct {
 	// incarnation identifies the node's process; it seeds the random thresholds, so that nodes draw different ones.
 	incarnation string
 	tolerance   Tolerance
@@ -90,36 +90,36 @@
 	threshold float64
 }
 
-// NewPurse returns the purse of a node's process, which has had no answer yet. The incarnation identifies the
+// NewAllowance returns the purse of a node's process, which has had no answer yet. The incarnation identifies the
 // process.
-func NewPurse(incarnation string, tolerance Tolerance) *Purse {
-	return &Purse{incarnation: incarnation, tolerance: tolerance, accounts: make(map[string]*account)}
+func NewAllowance(incarnation string, tolerance Tolerance) *Allowance {
+	return &Allowance{incarnation: incarnation, tolerance: tolerance, accounts: make(map[string]*account)}
 }
 
 // Members returns the number of nodes over which limits are divided by the latest answer.
-func (p *Purse) Members() int { return p.members }
+func (p *Allowance) Members() int { return p.members }
 
-// Alone reports whether the node is partitioned from the granter and spends its own share.
-func (p *Purse) Alone() bool { return !p.partitionedSince.IsZero() }
+// Partitioned reports whether the node is partitioned from the granter and spends its own share.
+func (p *Allowance) Partitioned() bool { return !p.partitionedSince.IsZero() }
 
-// Heard records an answer, with the number of nodes that it told, to a grant request that was sent at the given time.
-func (p *Purse) Heard(sent time.Time, members int) {
+// Answered records an answer, with the number of nodes that it told, to a grant request that was sent at the given time.
+func (p *Allowance) Answered(sent time.Time, members int) {
 	p.members, p.partitionedSince = members, time.Time{}
 	if sent.After(p.answeredAt) {
 		p.answeredAt = sent
 	}
 }
 
-// Lost records that a grant request got no answer. It is ignored if a request that was sent later was answered.
-func (p *Purse) Lost(sent, now time.Time) {
-	if p.Alone() || sent.Before(p.answeredAt) {
+// Unanswered records that a grant request got no answer. It is ignored if a request that was sent later was answered.
+func (p *Allowance) Unanswered(sent, now time.Time) {
+	if p.Partitioned() || sent.Before(p.answeredAt) {
 		return
 	}
 	p.partitionedSince = now
 }
 
 // account returns the account of a name, creating it if needed.
-func (p *Purse) account(name string) *account {
+func (p *Allowance) account(name string) *account {
 	a := p.accounts[name]
 	if a == nil {
 		a = &account{}
@@ -129,7 +129,7 @@
 }
 
 // Take decides on a customer's request of need units, and charges it if the units held here suffice.
-func (p *Purse) Take(name string, l customer.Limit, need float64, now time.Time) Decision {
+func (p *Allowance) Take(name string, l customer.Limit, need float64, now time.Time) Decision {
 	if !l.Limited() {
 		return Decision{}
 	}
@@ -137,19 +137,19 @@
 }
 
 // TakeBound is like Take, for any bound; name is that of its account.
-func (p *Purse) TakeBound(name string, of Bound, need float64, now time.Time) Decision {
+func (p *Allowance) TakeBound(name string, of Bound, need float64, now time.Time) Decision {
 	a := p.account(name)
 	a.recordUsage(need, now)
 	switch {
 	case now.Before(a.expires) && a.credit >= need:
 		a.credit -= need
 		return Decision{}
-	case p.Alone():
+	case p.Partitioned():
 		return p.takePartitioned(a, name, of, need, now)
 	case now.Before(a.refuseUntil) && need >= a.refuseNeed:
-		return Decision{Step: Over, After: a.retryAfter}
+		return Decision{Step: OverLimit, RetryAfter: a.retryAfter}
 	}
-	return Decision{Step: AskFor, Ahead: a.prefetch(need)}
+	return Decision{Step: NeedsGrant, Prefetch: a.prefetch(need)}
 }
 
 // prefetch returns how many units to request beyond a request's need. It is 0 where few requests are expected, since
@@ -171,10 +171,10 @@
 
 // takePartitioned spends the node's own share. A share is mostly smaller than one request. Each node therefore draws
 // a random threshold for its next request, so that all nodes together admit as much as the sum of their shares.
-func (p *Purse) takePartitioned(a *account, name string, of Bound, need float64, now time.Time) Decision {
+func (p *Allowance) takePartitioned(a *account, name string, of Bound, need float64, now time.Time) Decision {
 	nodes := p.nodes(of, now)
 	if nodes == 0 {
-		return Decision{Step: Unknown, After: unknownRetryAfter}
+		return Decision{Step: ShareUnknown, RetryAfter: unknownRetryAfter}
 	}
 	rate := of.PartitionedRate / float64(nodes)
 	if a.shareAt.Before(p.partitionedSince) {
@@ -184,7 +184,7 @@
 	a.share += rate * now.Sub(a.shareAt).Seconds()
 	a.shareAt = now
 	if short := a.threshold*need - a.share; short > 0 {
-		return Decision{Step: Over, After: min(maxRetryAfter, time.Duration(short/rate*float64(time.Second)))}
+		return Decision{Step: OverLimit, RetryAfter: min(maxRetryAfter, time.Duration(short/rate*float64(time.Second)))}
 	}
 	a.share -= need
 	a.drawThreshold(p.incarnation, name, now)
@@ -192,7 +192,7 @@
 }
 
 // nodes returns the number of nodes over which a partitioned node divides a bound; 0 if it is not known.
-func (p *Purse) nodes(of Bound, now time.Time) int {
+func (p *Allowance) nodes(of Bound, now time.Time) int {
 	switch {
 	case of.MinNodes > 0:
 		return max(of.MinNodes, p.members)
@@ -203,7 +203,7 @@
 }
 
 // ForgetIdle drops the accounts that no request used for idleTTL.
-func (p *Purse) ForgetIdle(now time.Time) {
+func (p *Allowance) ForgetIdle(now time.Time) {
 	for name, a := range p.accounts {
 		if now.Sub(a.usageAt) > idleTTL {
 			delete(p.accounts, name)
@@ -219,7 +219,7 @@
 
 // Granted records the units granted by an answer to a grant request that was sent at the given time, and charges the
 // need of the request that caused it. Credit expires creditTTL after sent.
-func (p *Purse) Granted(name string, granted, need float64, sent time.Time) {
+func (p *Allowance) Granted(name string, granted, need float64, sent time.Time) {
 	a := p.account(name)
 	if !sent.Before(a.expires) {
 		a.credit = 0
@@ -230,14 +230,14 @@
 }
 
 // Refused records that the granter refused need units until after has passed.
-func (p *Purse) Refused(name string, need float64, after time.Duration, now time.Time) {
+func (p *Allowance) Refused(name string, need float64, after time.Duration, now time.Time) {
 	a := p.account(name)
 	a.refuseUntil, a.refuseNeed, a.retryAfter = now.Add(min(after, maxLocalRefusal)), need, after
 }
 
-// GiveBack refunds the charge of a request that certainly did not run. Refunds later than creditTTL after the charge
+// Refund refunds the charge of a request that certainly did not run. Refunds later than creditTTL after the charge
 // are ignored, since the units would count towards another time.
-func (p *Purse) GiveBack(name string, amount float64, charged, now time.Time) {
+func (p *Allowance) Refund(name string, amount float64, charged, now time.Time) {
 	a := p.accounts[name]
 	if a == nil || now.Sub(charged) > creditTTL {
 		return
@@ -252,7 +252,7 @@
 }
 
 // Forget drops the accounts whose names are not known, such as those of deleted customers.
-func (p *Purse) Forget(known func(name string) bool) {
+func (p *Allowance) Forget(known func(name string) bool) {
 	for name := range p.accounts {
 		if !known(name) {
 			delete(p.accounts, name)
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -20,10 +20,10 @@
 func TestStartsEmpty(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 100}
 	g := NewGranter(Tolerance{}, 0, start)
-	g.Heard("a", false, start)
-	got := []Answer{g.Ask("c", l, 10, 0, start), g.Ask("c", l, 10, 0, at(100*time.Millisecond)), g.Ask("c", l, 10, 0, at(100*time.Millisecond))}
+	g.Observe("a", false, start)
+	got := []Answer{g.Grant("c", l, 10, 0, start), g.Grant("c", l, 10, 0, at(100*time.Millisecond)), g.Grant("c", l, 10, 0, at(100*time.Millisecond))}
 	// The second refused request is scheduled behind the first.
-	want := []Answer{{After: 100 * time.Millisecond}, {Granted: 10}, {After: 100 * time.Millisecond}}
+	want := []Answer{{RetryAfter: 100 * time.Millisecond}, {Granted: 10}, {RetryAfter: 100 * time.Millisecond}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("answers (-want +got):\n%s", diff)
 	}
@@ -34,10 +34,10 @@
 func TestRetriesInOrder(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 10}
 	g := NewGranter(Tolerance{}, 0, start)
-	g.Heard("a", false, start)
+	g.Observe("a", false, start)
 	var got []time.Duration
 	for range 3 {
-		got = append(got, g.Ask("c", l, 10, 0, start).After)
+		got = append(got, g.Grant("c", l, 10, 0, start).RetryAfter)
 	}
 	if diff := cmp.Diff([]time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond}, got); diff != "" {
 		t.Errorf("retry delays (-want +got):\n%s", diff)
@@ -55,11 +55,14 @@
 		members int
 		second  float64
 	}{
-		{"all in touch", 0, func(g *Granter) { g.Heard("a", false, start); g.Heard("b", false, start) }, 2, 100},
-		{"one alone", 0, func(g *Granter) { g.Heard("a", false, start); g.Heard("b", true, start) }, 2, 50},
-		{"others known of", 4, func(g *Granter) { g.Heard("a", false, start) }, 4, 25},
-		{"one silent", 0, func(g *Granter) { g.Heard("a", false, at(AttachmentTTL)); g.Heard("b", false, start.Add(-time.Second)) }, 2, 50},
-		{"one forgotten", 0, func(g *Granter) { g.Heard("a", false, start); g.Heard("b", false, start.Add(-memberTTL)) }, 1, 100},
+		{"all in touch", 0, func(g *Granter) { g.Observe("a", false, start); g.Observe("b", false, start) }, 2, 100},
+		{"one alone", 0, func(g *Granter) { g.Observe("a", false, start); g.Observe("b", true, start) }, 2, 50},
+		{"others known of", 4, func(g *Granter) { g.Observe("a", false, start) }, 4, 25},
+		{"one silent", 0, func(g *Granter) {
+			g.Observe("a", false, at(AttachmentTTL))
+			g.Observe("b", false, start.Add(-time.Second))
+		}, 2, 50},
+		{"one forgotten", 0, func(g *Granter) { g.Observe("a", false, start); g.Observe("b", false, start.Add(-memberTTL)) }, 1, 100},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -79,8 +82,8 @@
 	l := customer.Limit{Rate: 100, Burst: 10}
 	g, served := NewGranter(Tolerance{}, 0, start), 0
 	for d := time.Duration(0); d <= 10*time.Second; d += 100 * time.Millisecond {
-		g.Heard("a", false, at(d))
-		if g.Ask("c", l, 50, 0, at(d)).Granted > 0 {
+		g.Observe("a", false, at(d))
+		if g.Grant("c", l, 50, 0, at(d)).Granted > 0 {
 			served++
 		}
 	}
@@ -93,7 +96,7 @@
 // that a rate of 0 means no limit.
 func TestLimitChanges(t *testing.T) {
 	g := NewGranter(Tolerance{}, 0, start)
-	g.Heard("a", false, at(9*time.Second))
+	g.Observe("a", false, at(9*time.Second))
 	now := at(10 * time.Second)
 	steps := []struct {
 		limit customer.Limit
@@ -106,7 +109,7 @@
 		{customer.Limit{}, 1e9, true},
 	}
 	for i, s := range steps {
-		if got := g.Ask("c", s.limit, s.need, 0, now).Granted > 0; got != s.want {
+		if got := g.Grant("c", s.limit, s.need, 0, now).Granted > 0; got != s.want {
 			t.Errorf("step %d: granted = %t, want %t", i, got, s.want)
 		}
 	}
@@ -126,11 +129,11 @@
 		most := 0.0
 		for range rapid.IntRange(1, 60).Draw(t, "questions") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pauseMs")) * time.Millisecond)
-			g.Heard(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node"), rapid.IntRange(0, 4).Draw(t, "alone") == 0, now)
+			g.Observe(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node"), rapid.IntRange(0, 4).Draw(t, "alone") == 0, now)
 			need := float64(rapid.IntRange(0, 100).Draw(t, "need"))
 			most = max(most, need)
-			a := g.Ask("c", l, need, float64(rapid.IntRange(0, 100).Draw(t, "ahead")), now)
-			if a.Granted == 0 && need > 0 && a.After <= 0 {
+			a := g.Grant("c", l, need, float64(rapid.IntRange(0, 100).Draw(t, "ahead")), now)
+			if a.Granted == 0 && need > 0 && a.RetryAfter <= 0 {
 				t.Fatalf("refused without a retry delay: %+v", a)
 			}
 			grants = append(grants, grant{now, a.Granted})
@@ -151,12 +154,12 @@
 // moment after a refusal, spends its own share while partitioned, and stops when its latest answer is too old.
 func TestPurse(t *testing.T) {
 	l := customer.Limit{Rate: 1000, Burst: 1000}
-	p := NewPurse("a-1", Tolerance{})
+	p := NewAllowance("a-1", Tolerance{})
 	step := func(need float64, d time.Duration) Step { return p.Take("c", l, need, at(d)).Step }
 	var got []Step
 	add := func(s Step) { got = append(got, s) }
 	add(step(10, 0))
-	p.Heard(at(0), 2)
+	p.Answered(at(0), 2)
 	p.Granted("c", 30, 10, at(0))
 	add(step(10, 100*time.Millisecond))
 	add(step(20, 100*time.Millisecond))
@@ -164,14 +167,14 @@
 	add(step(20, 170*time.Millisecond))
 	add(step(5, 170*time.Millisecond))
 	add(step(20, 260*time.Millisecond))
-	p.Lost(at(260*time.Millisecond), at(300*time.Millisecond))
+	p.Unanswered(at(260*time.Millisecond), at(300*time.Millisecond))
 	// The share starts at 100 units and grows by 500 per second.
 	add(step(60, 320*time.Millisecond))
 	add(step(900, 330*time.Millisecond))
 	add(step(10, PartitionedTTL+time.Millisecond))
-	p.Heard(at(9*time.Second), 2)
+	p.Answered(at(9*time.Second), 2)
 	add(step(10, 9*time.Second))
-	want := []Step{AskFor, Pass, AskFor, Over, Pass, AskFor, Pass, Over, Unknown, AskFor}
+	want := []Step{NeedsGrant, Admitted, NeedsGrant, OverLimit, Admitted, NeedsGrant, Admitted, OverLimit, ShareUnknown, NeedsGrant}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("steps (-want +got):\n%s", diff)
 	}
@@ -181,14 +184,14 @@
 // one, and credit that arrives after it has expired.
 func TestLateAnswers(t *testing.T) {
 	l := customer.Limit{Rate: 1000, Burst: 1000}
-	p := NewPurse("a-1", Tolerance{})
-	p.Heard(at(time.Second), 2)
-	p.Lost(at(500*time.Millisecond), at(1100*time.Millisecond))
-	if p.Alone() {
+	p := NewAllowance("a-1", Tolerance{})
+	p.Answered(at(time.Second), 2)
+	p.Unanswered(at(500*time.Millisecond), at(1100*time.Millisecond))
+	if p.Partitioned() {
 		t.Error("a question sent before an answered one makes the node partitioned")
 	}
 	p.Granted("c", 100, 10, at(0))
-	if d := p.Take("c", l, 10, at(time.Second)); d.Step != AskFor {
+	if d := p.Take("c", l, 10, at(time.Second)); d.Step != NeedsGrant {
 		t.Errorf("expired credit admits a request: %+v", d)
 	}
 }
@@ -202,20 +205,20 @@
 		at   time.Duration
 		want Step
 	}{
-		{"at once", 10 * time.Millisecond, Pass},
-		{"late", creditTTL + time.Millisecond, AskFor},
+		{"at once", 10 * time.Millisecond, Admitted},
+		{"late", creditTTL + time.Millisecond, NeedsGrant},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := NewPurse("a-1", Tolerance{})
-			p.Heard(start, 2)
+			p := NewAllowance("a-1", Tolerance{})
+			p.Answered(start, 2)
 			p.Granted("c", 10, 10, start)
-			p.GiveBack("c", 10, start, at(tt.at))
+			p.Refund("c", 10, start, at(tt.at))
 			if got := p.Take("c", l, 10, at(tt.at)).Step; got != tt.want {
 				t.Errorf("step = %v, want %v", got, tt.want)
 			}
-			if got := p.Take("c", l, 10, at(tt.at)).Step; got != AskFor {
-				t.Errorf("second step = %v, want %v", got, AskFor)
+			if got := p.Take("c", l, 10, at(tt.at)).Step; got != NeedsGrant {
+				t.Errorf("second step = %v, want %v", got, NeedsGrant)
 			}
 		})
 	}
@@ -228,11 +231,11 @@
 	l := customer.Limit{Rate: 22000, Burst: 22000}
 	passed := 0.0
 	for i := range nodes {
-		p := NewPurse(strconv.Itoa(i), Tolerance{})
-		p.Heard(start, nodes)
-		p.Lost(start, start)
+		p := NewAllowance(strconv.Itoa(i), Tolerance{})
+		p.Answered(start, nodes)
+		p.Unanswered(start, start)
 		for d := time.Duration(0); d <= 4*time.Second; d += 250 * time.Millisecond {
-			if p.Take("c", l, need, at(d)).Step == Pass {
+			if p.Take("c", l, need, at(d)).Step == Admitted {
 				passed += need
 			}
 		}
@@ -248,11 +251,11 @@
 func TestRetryDelayPositive(t *testing.T) {
 	l := customer.Limit{Rate: 200}
 	g := NewGranter(Tolerance{}, 0, start)
-	g.Heard("a", true, start)
-	g.Heard("b", true, start)
-	g.Ask("c", l, 2, 0, start)
-	g.Heard("c", false, at(30*time.Millisecond))
-	if a := g.Ask("c", l, 1, 0, at(30*time.Millisecond)); a.Granted == 0 && a.After <= 0 {
+	g.Observe("a", true, start)
+	g.Observe("b", true, start)
+	g.Grant("c", l, 2, 0, start)
+	g.Observe("c", false, at(30*time.Millisecond))
+	if a := g.Grant("c", l, 1, 0, at(30*time.Millisecond)); a.Granted == 0 && a.RetryAfter <= 0 {
 		t.Errorf("refused without a retry delay: %+v", a)
 	}
 }
--- a/core/refusal/refusal.go
+++ b/core/refusal/refusal.go
@@ -141,8 +141,8 @@
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After sets the retry hint to d and returns e. If d is not positive, the hint of the kind applies.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets the retry hint to d and returns e. If d is not positive, the hint of the kind applies.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
@@ -161,8 +161,8 @@
 // Remedy returns what the caller can do, as a sentence fragment.
 func (e *Error) Remedy() string { return kinds[e.Kind].remedy }
 
-// Hint returns after which time the caller may repeat the request; 0 means that repeating does not help.
-func (e *Error) Hint() time.Duration {
+// RetryHint returns after which time the caller may repeat the request; 0 means that repeating does not help.
+func (e *Error) RetryHint() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
--- a/core/retry/allowance.go
+++ b/core/retry/allowance.go
@@ -45,8 +45,8 @@
 // NewAllowance returns the allowance of a node that has just started. The limits apply to all nodes together.
 func NewAllowance(total Limits) *Allowance { return &Allowance{total: total} }
 
-// Heard records the number of nodes that share the limits, as counted by the lease holder.
-func (a *Allowance) Heard(nodes int, now time.Time) {
+// ObserveNodes records the number of nodes that share the limits, as counted by the lease holder.
+func (a *Allowance) ObserveNodes(nodes int, now time.Time) {
 	if a.Nodes(now) == 0 || !a.receiving(now) {
 		a.since, a.ready = now, false
 	}
--- a/core/retry/allowance_test.go
+++ b/core/retry/allowance_test.go
@@ -99,11 +99,11 @@
 			count++
 		}
 	}
-	h.allowance.Heard(count, s.now)
+	h.allowance.ObserveNodes(count, s.now)
 	told := h.allowance.Nodes(s.now)
 	for i, n := range s.nodes {
 		if i != s.holder && !s.partitioned[i] && !s.partitioned[s.holder] {
-			n.allowance.Heard(told, s.now)
+			n.allowance.ObserveNodes(told, s.now)
 		}
 	}
 }
@@ -287,7 +287,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			a := NewAllowance(Limits{Share: 0.2, Reserve: 90, Window: 10 * time.Second})
 			for _, h := range tt.told {
-				a.Heard(h.nodes, start.Add(h.at))
+				a.ObserveNodes(h.nodes, start.Add(h.at))
 			}
 			if diff := cmp.Diff(tt.want, a.Limits(start.Add(tt.at)).Reserve, cmpopts.EquateApprox(0, 1e-9)); diff != "" {
 				t.Errorf("reserve (-want +got):\n%s", diff)
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -33,10 +33,10 @@
 // Limit replaces the limits of the budget.
 func (b *Budget) Limit(l Limits) { b.limits = l }
 
-// Earn records a first attempt.
-func (b *Budget) Earn(now time.Time) { b.firsts.add(now, b.limits.Window) }
+// AddFirst records a first attempt.
+func (b *Budget) AddFirst(now time.Time) { b.firsts.add(now, b.limits.Window) }
 
-// Left returns the number of retries that may be made now; it may be fractional or negative.
+// CallerGone returns the number of retries that may be made now; it may be fractional or negative.
 func (b *Budget) Left(now time.Time) float64 {
 	earned := b.limits.Share * float64(b.firsts.sum(now, b.limits.Window))
 	return earned + b.limits.Reserve - float64(b.spent.sum(now, b.limits.Window)+b.reserved)
@@ -44,16 +44,16 @@
 
 // Spend takes one retry that is sent now. It reports false if the budget is exhausted.
 func (b *Budget) Spend(now time.Time) bool {
-	if !b.Hold(now) {
+	if !b.Reserve(now) {
 		return false
 	}
 	b.Sent(now)
 	return true
 }
 
-// Hold reserves one retry that is sent later. It reports false if the budget is exhausted. A call of
+// Reserve reserves one retry that is sent later. It reports false if the budget is exhausted. A call of
 // Sent or Drop must follow if it returns true.
-func (b *Budget) Hold(now time.Time) bool {
+func (b *Budget) Reserve(now time.Time) bool {
 	if b.Left(now) < minBudget {
 		return false
 	}
@@ -67,8 +67,8 @@
 	b.spent.add(now, b.limits.Window)
 }
 
-// Drop returns a reserved retry that was not sent to the budget.
-func (b *Budget) Drop() { b.reserved-- }
+// Release returns a reserved retry that was not sent to the budget.
+func (b *Budget) Release() { b.reserved-- }
 
 // countSpans is the number of spans into which the window of a counter is divided. Events leave the window
 // one span at a time.
--- a/core/retry/budget_test.go
+++ b/core/retry/budget_test.go
@@ -29,7 +29,7 @@
 	for _, test := range tests {
 		b := NewBudget(limits)
 		for range test.firsts {
-			b.Earn(start)
+			b.AddFirst(start)
 		}
 		for range test.spent {
 			if !b.Spend(start) {
@@ -57,7 +57,7 @@
 		for range 200 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "first") {
-				b.Earn(now)
+				b.AddFirst(now)
 				events = append(events, event{now, false})
 			} else if b.Spend(now) {
 				events = append(events, event{now, true})
--- a/core/retry/next.go
+++ b/core/retry/next.go
@@ -8,9 +8,9 @@
 	// Ran is the number of attempts that may have run, including this one. Attempts is its limit.
 	Ran, Attempts int
 	// Late is true if the deadline has passed. Left is true if the caller has disconnected.
-	Late, Left bool
-	// Held is true if the request must not be sent to engines any more.
-	Held bool
+	Late, CallerGone bool
+	// Withheld is true if the request must not be sent to engines any more.
+	Withheld bool
 }
 
 // Step is what the caller of Next does with the request.
@@ -44,7 +44,7 @@
 		return TimedOut
 	case a.mayRepeat():
 		return Repeat
-	case a.Ran == 0 && a.Held:
+	case a.Ran == 0 && a.Withheld:
 		return Withheld
 	case a.Ran == 0:
 		return NotBegun
@@ -55,5 +55,5 @@
 }
 
 func (a *Attempt) mayRepeat() bool {
-	return !a.Left && !a.Late && !a.Held && a.Ran < a.Attempts && MayRepeat(a.Outcome, a.OnceOnly)
+	return !a.CallerGone && !a.Late && !a.Withheld && a.Ran < a.Attempts && MayRepeat(a.Outcome, a.OnceOnly)
 }
