--- a/core/retry/next_test.go
+++ b/core/retry/next_test.go
@@ -16,15 +16,15 @@
 	// The first rule that holds gives the expected step.
 	rules := []rule{
 		{"late after something was sent", func(a Attempt) bool { return a.Late && a.Outcome != NotSent }, TimedOut},
-		{"late, nothing sent ever", func(a Attempt) bool { return a.Late && a.Ran == 0 && !a.Held }, NotBegun},
-		{"kept from engines, nothing sent ever", func(a Attempt) bool { return a.Held && a.Ran == 0 }, Withheld},
-		{"kept from engines after a run", func(a Attempt) bool { return a.Held && !a.OnceOnly }, Failed},
-		{"caller gone, nothing sent ever", func(a Attempt) bool { return a.Left && a.Ran == 0 }, NotBegun},
+		{"late, nothing sent ever", func(a Attempt) bool { return a.Late && a.Ran == 0 && !a.Withheld }, NotBegun},
+		{"kept from engines, nothing sent ever", func(a Attempt) bool { return a.Withheld && a.Ran == 0 }, Withheld},
+		{"kept from engines after a run", func(a Attempt) bool { return a.Withheld && !a.OnceOnly }, Failed},
+		{"caller gone, nothing sent ever", func(a Attempt) bool { return a.CallerGone && a.Ran == 0 }, NotBegun},
 		{"once only, may have run", func(a Attempt) bool { return a.OnceOnly && a.Ran > 0 && a.Outcome != NotSent }, Unknown},
 		{"once only, not sent, but an earlier attempt was", func(a Attempt) bool {
-			return a.OnceOnly && a.Ran > 0 && (a.Left || a.Late || a.Held || a.Ran >= a.Attempts)
+			return a.OnceOnly && a.Ran > 0 && (a.CallerGone || a.Late || a.Withheld || a.Ran >= a.Attempts)
 		}, Unknown},
-		{"caller gone", func(a Attempt) bool { return a.Left }, Failed},
+		{"caller gone", func(a Attempt) bool { return a.CallerGone }, Failed},
 		{"late", func(a Attempt) bool { return a.Late }, Failed},
 		{"no attempts left", func(a Attempt) bool { return a.Ran >= a.Attempts }, Failed},
 		{"otherwise", func(Attempt) bool { return true }, Repeat},
@@ -42,7 +42,7 @@
 						for _, left := range both {
 							for _, held := range both {
 								cases++
-								a := Attempt{Outcome: outcome, OnceOnly: once, Ran: ran, Attempts: attempts, Late: late, Left: left, Held: held}
+								a := Attempt{Outcome: outcome, OnceOnly: once, Ran: ran, Attempts: attempts, Late: late, CallerGone: left, Withheld: held}
 								for _, r := range rules {
 									if !r.holds(a) {
 										continue
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -102,11 +102,11 @@
 // Keyed reports whether requests need keys, which holds if the configuration names customers.
 func (t *Table) Keyed() bool { return len(t.Config.Customers) > 0 }
 
-// Holder returns the customer that owns a key, by the key's digest, or nil.
-func (t *Table) Holder(k customer.Digest) *customer.Customer { return t.customers.Holder(k) }
+// KeyOwner returns the customer that owns a key, by the key's digest, or nil.
+func (t *Table) KeyOwner(k customer.Digest) *customer.Customer { return t.customers.ByKey(k) }
 
 // Customer returns the customer with a name, or nil.
-func (t *Table) Customer(name string) *customer.Customer { return t.customers.Named(name) }
+func (t *Table) Customer(name string) *customer.Customer { return t.customers.ByName(name) }
 
 // Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/core/signal/book.go
+++ b/core/signal/book.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Life identifies one incarnation of an endpoint.
-type Life struct {
+// Incarnation identifies one incarnation of an endpoint.
+type Incarnation struct {
 	Endpoint string
 	// Start is the start time in Unix milliseconds; 0 if it is not known.
 	Start int64
@@ -15,23 +15,23 @@
 
 // Change describes how an answer, or a report of another node, changed what is known of an endpoint.
 type Change struct {
-	Life
+	Incarnation
 	// Limit is the new limit in requests per second, and Before the previous one; 0 for none.
 	Limit, Before float64
-	// Leaves is true if the endpoint was not known to be draining before and now is.
-	Leaves bool
-	// Rest is the duration of a backoff that begins now; 0 if none begins or one is in force already.
-	Rest time.Duration
-	// Damaged holds malformed signals that should be reported.
-	Damaged []Damage
+	// Draining is true if the endpoint was not known to be draining before and now is.
+	Draining bool
+	// BackoffUntil is the duration of a backoff that begins now; 0 if none begins or one is in force already.
+	Backoff time.Duration
+	// Malformed holds malformed signals that should be reported.
+	Malformed []MalformedError
 }
 
-// News reports whether anything changed.
-func (c *Change) News() bool { return c.Limit != c.Before || c.Leaves || c.Rest > 0 }
+// Changed reports whether anything changed.
+func (c *Change) Changed() bool { return c.Limit != c.Before || c.Draining || c.Backoff > 0 }
 
 // Fields returns keys and values that describe the change in a log line.
 func (c *Change) Fields() []any {
-	return []any{"endpoint", c.Endpoint, "born", c.Start, "limit", c.Limit, "before", c.Before, "leaves", c.Leaves, "restMs", c.Rest.Milliseconds()}
+	return []any{"endpoint", c.Endpoint, "born", c.Start, "limit", c.Limit, "before", c.Before, "leaves", c.Draining, "restMs", c.Backoff.Milliseconds()}
 }
 
 // Retention times and intervals.
@@ -44,8 +44,8 @@
 	damageInterval = 10 * time.Second
 )
 
-// Book holds the latest signals of all endpoints, as known to one node. It is not safe for concurrent use.
-type Book struct {
+// Registry holds the latest signals of all endpoints, as known to one node. It is not safe for concurrent use.
+type Registry struct {
 	entries map[string]*entry
 	version uint64
 	// expiredAt is when expired entries were last removed.
@@ -74,12 +74,12 @@
 	damagedAt time.Time
 }
 
-// NewBook returns a book without signals.
-func NewBook() *Book { return &Book{entries: make(map[string]*entry)} }
+// NewRegistry returns a book without signals.
+func NewRegistry() *Registry { return &Registry{entries: make(map[string]*entry)} }
 
 // entryFor returns the entry of an incarnation. It starts a new one if the incarnation is later than the known one,
 // and returns nil if it is earlier.
-func (b *Book) entryFor(l Life) *entry {
+func (b *Registry) entryFor(l Incarnation) *entry {
 	e := b.entries[l.Endpoint]
 	switch {
 	case e == nil, l.Start > e.start && e.start != 0:
@@ -93,9 +93,9 @@
 	return e
 }
 
-// Hear applies the signals of an answer that arrived now to a request that was sent at the time sent, and returns the
+// Observe applies the signals of an answer that arrived now to a request that was sent at the time sent, and returns the
 // change.
-func (b *Book) Hear(l Life, s Said, sent, now time.Time) Change {
+func (b *Registry) Observe(l Incarnation, s Signals, sent, now time.Time) Change {
 	b.expire(now)
 	if b.entries[l.Endpoint] == nil && s.empty() {
 		return Change{}
@@ -105,20 +105,20 @@
 		return Change{}
 	}
 	e.seenAt = now
-	c := Change{Life: l, Limit: e.limit, Before: e.limit, Leaves: s.Leaving && !e.draining}
-	if len(s.Damaged) > 0 && now.Sub(e.damagedAt) >= damageInterval {
-		e.damagedAt, c.Damaged = now, s.Damaged
+	c := Change{Incarnation: l, Limit: e.limit, Before: e.limit, Draining: s.Draining && !e.draining}
+	if len(s.Malformed) > 0 && now.Sub(e.damagedAt) >= damageInterval {
+		e.damagedAt, c.Malformed = now, s.Malformed
 	}
-	if until := now.Add(s.Rest); s.Rest > 0 && until.After(e.backoffUntil) {
+	if until := now.Add(s.Backoff); s.Backoff > 0 && until.After(e.backoffUntil) {
 		if !now.Before(e.backoffUntil) {
-			c.Rest = s.Rest
+			c.Backoff = s.Backoff
 		}
 		e.backoffUntil = until
 	}
 	switch {
 	case s.Limit > 0:
 		c.Limit, e.limitAt, e.limitFrom = s.Limit, now, ""
-	case e.limit > 0 && s.Ran && len(s.Damaged) == 0 && sent.After(e.limitAt):
+	case e.limit > 0 && s.Ran && len(s.Malformed) == 0 && sent.After(e.limitAt):
 		c.Limit, e.limitAt, e.limitFrom = 0, now, ""
 	}
 	b.commit(e, &c)
@@ -126,24 +126,24 @@
 }
 
 // commit stores a change.
-func (b *Book) commit(e *entry, c *Change) {
-	if !c.News() {
+func (b *Registry) commit(e *entry, c *Change) {
+	if !c.Changed() {
 		return
 	}
 	b.version++
-	e.version, e.limit, e.draining = b.version, c.Limit, e.draining || c.Leaves
+	e.version, e.limit, e.draining = b.version, c.Limit, e.draining || c.Draining
 }
 
 // lookup returns the entry of an incarnation, or nil if it has sent no signals.
-func (b *Book) lookup(l Life) *entry {
+func (b *Registry) lookup(l Incarnation) *entry {
 	if e := b.entries[l.Endpoint]; e != nil && (e.start == l.Start || e.start == 0) {
 		return e
 	}
 	return nil
 }
 
-// Rest returns the end of the backoff that an incarnation asked of this node; a time in the past if there is none.
-func (b *Book) Rest(l Life) time.Time {
+// BackoffUntil returns the end of the backoff that an incarnation asked of this node; a time in the past if there is none.
+func (b *Registry) BackoffUntil(l Incarnation) time.Time {
 	if e := b.lookup(l); e != nil {
 		return e.backoffUntil
 	}
@@ -155,22 +155,22 @@
 const backoffCapacity = 0.001
 
 // Capacities maps incarnations of endpoints to the capacity that they reported, in requests per second.
-type Capacities map[Life]float64
+type Capacities map[Incarnation]float64
 
 // Of returns the capacity of an incarnation; 0 if it reported none.
-func (c Capacities) Of(l Life) float64 {
+func (c Capacities) Of(l Incarnation) float64 {
 	if v, ok := c[l]; ok {
 		return v
 	}
 	// The capacity was recorded while the start time was unknown.
-	return c[Life{Endpoint: l.Endpoint}]
+	return c[Incarnation{Endpoint: l.Endpoint}]
 }
 
 // Capacities returns the capacities that endpoints reported to any node.
-func (b *Book) Capacities(now time.Time) Capacities {
+func (b *Registry) Capacities(now time.Time) Capacities {
 	out := make(Capacities)
 	for name, e := range b.entries {
-		l := Life{Endpoint: name, Start: e.start}
+		l := Incarnation{Endpoint: name, Start: e.start}
 		switch {
 		case now.Before(e.backoffUntil) || now.Before(e.othersBackoffUntil):
 			out[l] = backoffCapacity
@@ -181,33 +181,33 @@
 	return out
 }
 
-// Leaves reports whether an incarnation has reported that it is draining.
-func (b *Book) Leaves(l Life) bool {
+// Draining reports whether an incarnation has reported that it is draining.
+func (b *Registry) Draining(l Incarnation) bool {
 	e := b.lookup(l)
 	return e != nil && e.draining
 }
 
-// Former reports whether a later incarnation of the endpoint is known, which would receive a request meant for this
+// Superseded reports whether a later incarnation of the endpoint is known, which would receive a request meant for this
 // one.
-func (b *Book) Former(l Life) bool {
+func (b *Registry) Superseded(l Incarnation) bool {
 	e := b.entries[l.Endpoint]
 	return e != nil && l.Start != 0 && e.start > l.Start
 }
 
-// Leaving returns the incarnations that have reported that they are draining.
-func (b *Book) Leaving() []Life {
-	var out []Life
+// DrainingIncarnations returns the incarnations that have reported that they are draining.
+func (b *Registry) DrainingIncarnations() []Incarnation {
+	var out []Incarnation
 	for name, e := range b.entries {
 		if e.draining {
-			out = append(out, Life{Endpoint: name, Start: e.start})
+			out = append(out, Incarnation{Endpoint: name, Start: e.start})
 		}
 	}
-	slices.SortFunc(out, func(a, b Life) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+	slices.SortFunc(out, func(a, b Incarnation) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return out
 }
 
 // Limit returns the limit that an incarnation reported, in requests per second; 0 for none.
-func (b *Book) Limit(l Life) float64 {
+func (b *Registry) Limit(l Incarnation) float64 {
 	if e := b.lookup(l); e != nil {
 		return e.limit
 	}
@@ -215,7 +215,7 @@
 }
 
 // Limits returns the limits in force by endpoint, in requests per second.
-func (b *Book) Limits() map[string]float64 {
+func (b *Registry) Limits() map[string]float64 {
 	out := make(map[string]float64)
 	for name, e := range b.entries {
 		if e.limit > 0 {
@@ -225,8 +225,8 @@
 	return out
 }
 
-// Resting returns the remaining backoffs that endpoints asked of this node, in milliseconds by endpoint.
-func (b *Book) Resting(now time.Time) map[string]int64 {
+// Backoffs returns the remaining backoffs that endpoints asked of this node, in milliseconds by endpoint.
+func (b *Registry) Backoffs(now time.Time) map[string]int64 {
 	out := make(map[string]int64)
 	for name, e := range b.entries {
 		if left := e.backoffUntil.Sub(now); left > 0 {
@@ -237,7 +237,7 @@
 }
 
 // expire removes the entries of endpoints without recent signals.
-func (b *Book) expire(now time.Time) {
+func (b *Registry) expire(now time.Time) {
 	if now.Sub(b.expiredAt) < entryTTL {
 		return
 	}
--- a/core/signal/signal.go
+++ b/core/signal/signal.go
@@ -8,32 +8,34 @@
 	"time"
 )
 
-// Said holds the signals that one answer of an endpoint carries about the endpoint itself.
-type Said struct {
+// Signals holds the signals that one answer of an endpoint carries about the endpoint itself.
+type Signals struct {
 	// Limit is the number of requests per second that the endpoint accepts from all nodes together; 0 if the answer
 	// names none.
 	Limit float64
-	// Leaving is true if the endpoint is draining: it accepts no new requests until it stops.
-	Leaving bool
-	// Rest is how long this node should send the endpoint no requests; 0 if the answer asks for no backoff.
-	Rest time.Duration
+	// DrainingIncarnations is true if the endpoint is draining: it accepts no new requests until it stops.
+	Draining bool
+	// BackoffUntil is how long this node should send the endpoint no requests; 0 if the answer asks for no backoff.
+	Backoff time.Duration
 	// Ran is true if the endpoint ran the request. Only such an answer ends a limit by not naming one.
 	Ran bool
-	// Damaged holds the signals that could not be parsed; they have no effect.
-	Damaged []Damage
+	// Malformed holds the signals that could not be parsed; they have no effect.
+	Malformed []MalformedError
 }
 
 // empty reports whether there are no signals.
-func (s *Said) empty() bool { return s.Limit == 0 && !s.Leaving && s.Rest == 0 && len(s.Damaged) == 0 }
+func (s *Signals) empty() bool {
+	return s.Limit == 0 && !s.Draining && s.Backoff == 0 && len(s.Malformed) == 0
+}
 
-// Damage is the error for a signal whose value could not be parsed.
-type Damage struct {
+// MalformedError is the error for a signal whose value could not be parsed.
+type MalformedError struct {
 	// Name is the name of the header, Value its value, and Want describes valid values.
 	Name, Value, Want string
 }
 
 // Error implements error.
-func (d Damage) Error() string {
+func (d MalformedError) Error() string {
 	return fmt.Sprintf("header %s of an endpoint's answer is %q, want %s", d.Name, d.Value[:min(len(d.Value), maxValueBytes)], d.Want)
 }
 
@@ -43,23 +45,23 @@
 // maxBackoff bounds the backoff that an endpoint may ask for.
 const maxBackoff = time.Hour
 
-// Rest parses the values of a header that holds a backoff in seconds. It returns 0 if the header is absent, and 0
+// BackoffUntil parses the values of a header that holds a backoff in seconds. It returns 0 if the header is absent, and 0
 // with the damage if it is malformed.
-func Rest(name string, values []string) (rest time.Duration, damage *Damage) {
+func ParseBackoff(name string, values []string) (rest time.Duration, damage *MalformedError) {
 	seconds, damage := parseNumber(name, values, fmt.Sprintf("a number of seconds from 0 to %v", maxBackoff.Seconds()), func(v float64) bool {
 		return v >= 0 && v <= maxBackoff.Seconds()
 	})
 	return time.Duration(seconds * float64(time.Second)), damage
 }
 
-// Number parses the values of a header that holds one number above 0. It returns 0 if the header is absent, and 0
+// ParseNumber parses the values of a header that holds one number above 0. It returns 0 if the header is absent, and 0
 // with the damage if it is malformed.
-func Number(name string, values []string) (v float64, damage *Damage) {
+func ParseNumber(name string, values []string) (v float64, damage *MalformedError) {
 	return parseNumber(name, values, "one number above 0", func(v float64) bool { return v > 0 && !math.IsInf(v, 0) })
 }
 
 // parseNumber parses the values of a header that holds one number for which valid must return true.
-func parseNumber(name string, values []string, want string, valid func(float64) bool) (float64, *Damage) {
+func parseNumber(name string, values []string, want string, valid func(float64) bool) (float64, *MalformedError) {
 	if len(values) == 0 {
 		return 0, nil
 	}
@@ -68,5 +70,5 @@
 			return v, nil
 		}
 	}
-	return 0, &Damage{Name: name, Value: strings.Join(values, ", "), Want: want}
+	return 0, &MalformedError{Name: name, Value: strings.Join(values, ", "), Want: want}
 }
--- a/core/signal/signal_test.go
+++ b/core/signal/signal_test.go
@@ -32,7 +32,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, damage := Number("H", tt.values)
+			got, damage := ParseNumber("H", tt.values)
 			ok := got > 0
 			text := ""
 			if damage != nil {
@@ -48,12 +48,12 @@
 // TestLimitFollowsAnswers guards against a limit that is ended or revived by the wrong answer: one to a request sent
 // earlier, a refusal, a malformed one, or one of another incarnation.
 func TestLimitFollowsAnswers(t *testing.T) {
-	one, two := Life{"i-1", 1}, Life{"i-1", 2}
-	named := func(limit float64) Said { return Said{Limit: limit, Ran: true} }
+	one, two := Incarnation{"i-1", 1}, Incarnation{"i-1", 2}
+	named := func(limit float64) Signals { return Signals{Limit: limit, Ran: true} }
 	steps := []struct {
 		name      string
-		of        Life
-		said      Said
+		of        Incarnation
+		said      Signals
 		sent, now time.Duration
 		// limits holds the limits of both incarnations afterwards.
 		limits [2]float64
@@ -63,8 +63,8 @@
 		{"named", one, named(1.8), 1, 10, [2]float64{1.8, 0}, true},
 		{"named again", one, named(1.8), 2, 11, [2]float64{1.8, 0}, false},
 		{"an answer to a request of before", one, named(0), 5, 12, [2]float64{1.8, 0}, false},
-		{"a refusal that does not name it", one, Said{}, 12, 13, [2]float64{1.8, 0}, false},
-		{"damaged", one, Said{Ran: true, Damaged: []Damage{{Name: "H", Value: "x"}}}, 13, 14, [2]float64{1.8, 0}, false},
+		{"a refusal that does not name it", one, Signals{}, 12, 13, [2]float64{1.8, 0}, false},
+		{"damaged", one, Signals{Ran: true, Malformed: []MalformedError{{Name: "H", Value: "x"}}}, 13, 14, [2]float64{1.8, 0}, false},
 		{"another one", one, named(1), 14, 15, [2]float64{1, 0}, true},
 		{"no longer named", one, named(0), 16, 17, [2]float64{0, 0}, true},
 		{"named once more", one, named(3), 18, 19, [2]float64{3, 0}, true},
@@ -72,21 +72,21 @@
 		{"a late answer of the life before", one, named(3), 19, 22, [2]float64{0, 0}, false},
 		{"the next life names one", two, named(2), 23, 24, [2]float64{0, 2}, true},
 	}
-	b := NewBook()
+	b := NewRegistry()
 	for _, s := range steps {
-		c := b.Hear(s.of, s.said, at(s.sent), at(s.now))
-		if diff := cmp.Diff([2]float64{b.Limit(one), b.Limit(two)}, s.limits); diff != "" || c.News() != s.change {
-			t.Errorf("%s: change = %t, want %t; limits (-got +want):\n%s", s.name, c.News(), s.change, diff)
+		c := b.Observe(s.of, s.said, at(s.sent), at(s.now))
+		if diff := cmp.Diff([2]float64{b.Limit(one), b.Limit(two)}, s.limits); diff != "" || c.Changed() != s.change {
+			t.Errorf("%s: change = %t, want %t; limits (-got +want):\n%s", s.name, c.Changed(), s.change, diff)
 		}
 	}
 }
 
 // TestDamageReportsLimited guards against a log line for each answer of an endpoint whose signals are malformed.
 func TestDamageReportsLimited(t *testing.T) {
-	b, reports := NewBook(), 0
-	s := Said{Ran: true, Damaged: []Damage{{Name: "H", Value: "x"}}}
+	b, reports := NewRegistry(), 0
+	s := Signals{Ran: true, Malformed: []MalformedError{{Name: "H", Value: "x"}}}
 	for d := time.Duration(0); d < 3*damageInterval; d += damageInterval / 20 {
-		reports += len(b.Hear(Life{Endpoint: "i-1"}, s, at(d), at(d)).Damaged)
+		reports += len(b.Observe(Incarnation{Endpoint: "i-1"}, s, at(d), at(d)).Malformed)
 	}
 	if reports != 3 {
 		t.Errorf("%d reports in 3 periods of %v, want 3", reports, damageInterval)
@@ -113,7 +113,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got, damage := Rest("H", tt.values); got != tt.want || (damage != nil) != tt.damaged {
+			if got, damage := ParseBackoff("H", tt.values); got != tt.want || (damage != nil) != tt.damaged {
 				t.Errorf("Rest = %v, %v; want %v, damaged %t", got, damage, tt.want, tt.damaged)
 			}
 		})
@@ -123,26 +123,26 @@
 // TestOverlappingBackoffs checks when overlapping backoffs of an endpoint end, and that a backoff asked of another
 // node only affects the endpoint's capacity.
 func TestOverlappingBackoffs(t *testing.T) {
-	life := Life{"i-1", 1}
-	b := NewBook()
+	life := Incarnation{"i-1", 1}
+	b := NewRegistry()
 	hear := func(rest, now time.Duration) bool {
-		return b.Hear(life, Said{Rest: rest}, at(now), at(now)).Rest > 0
+		return b.Observe(life, Signals{Backoff: rest}, at(now), at(now)).Backoff > 0
 	}
 	if !hear(3*time.Second, 0) || hear(time.Second, time.Second) {
 		t.Error("a backoff within a backoff is reported as a new one")
 	}
-	if got := b.Rest(life); !got.Equal(at(3 * time.Second)) {
+	if got := b.BackoffUntil(life); !got.Equal(at(3 * time.Second)) {
 		t.Errorf("a shorter backoff ends it at %v", got.Sub(start))
 	}
 	hear(3*time.Second, 2*time.Second)
-	if got := b.Rest(life); !got.Equal(at(5 * time.Second)) {
+	if got := b.BackoffUntil(life); !got.Equal(at(5 * time.Second)) {
 		t.Errorf("a longer backoff ends at %v, want 5s", got.Sub(start))
 	}
-	other := NewBook()
+	other := NewRegistry()
 	for _, w := range b.Since(0) {
 		other.Merge(w, at(2*time.Second))
 	}
-	if got := other.Rest(life); got.After(at(2 * time.Second)) {
+	if got := other.BackoffUntil(life); got.After(at(2 * time.Second)) {
 		t.Error("another node's backoff binds this one")
 	}
 	if got := [2]float64{other.Capacities(at(4 * time.Second)).Of(life), other.Capacities(at(6 * time.Second)).Of(life)}; got != [2]float64{backoffCapacity, 0} {
--- a/core/signal/word.go
+++ b/core/signal/word.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// Word is a report about an endpoint from one node to others.
-type Word struct {
-	Life
+// Report is a report about an endpoint from one node to others.
+type Report struct {
+	Incarnation
 	// Limit is in requests per second; 0 if the endpoint no longer names one.
 	Limit float64
 	// At is when an answer last said so.
 	At time.Time
-	// Leaving is true if the incarnation has reported that it is draining.
-	Leaving bool
-	// RestUntil is the end of the backoff that the endpoint asked of the reporting node; a time in the past if there
+	// DrainingIncarnations is true if the incarnation has reported that it is draining.
+	Draining bool
+	// BackoffUntil is the end of the backoff that the endpoint asked of the reporting node; a time in the past if there
 	// is none.
-	RestUntil time.Time
+	BackoffUntil time.Time
 	// By is the node that sent the report. Reports of one node are ordered among themselves, whatever its clock.
 	By string
 }
 
-// ErrBadWord is returned for a report that no endpoint can have caused.
-var ErrBadWord = errors.New("a report on an endpoint needs its name and a finite limit of 0 or more; leave the report out")
+// ErrBadReport is returned for a report that no endpoint can have caused.
+var ErrBadReport = errors.New("a report on an endpoint needs its name and a finite limit of 0 or more; leave the report out")
 
 // Check returns ErrBadWord if the endpoint's name is missing or the limit is not a finite number of 0 or more.
-func (w *Word) Check() error {
+func (w *Report) Check() error {
 	if w.Endpoint == "" || !(w.Limit >= 0) || math.IsInf(w.Limit, 0) {
-		return ErrBadWord
+		return ErrBadReport
 	}
 	return nil
 }
@@ -40,24 +40,24 @@
 const maxRelayDelay = 500 * time.Millisecond
 
 // Version increases with each change that other nodes need to know.
-func (b *Book) Version() uint64 { return b.version }
+func (b *Registry) Version() uint64 { return b.version }
 
 // Since returns reports on the endpoints that changed after a version, sorted by name.
-func (b *Book) Since(version uint64) []Word {
-	var out []Word
+func (b *Registry) Since(version uint64) []Report {
+	var out []Report
 	for name, e := range b.entries {
 		if e.version > version {
-			out = append(out, Word{Life: Life{Endpoint: name, Start: e.start}, Limit: e.limit, At: e.limitAt, Leaving: e.draining, RestUntil: later(e.backoffUntil, e.othersBackoffUntil)})
+			out = append(out, Report{Incarnation: Incarnation{Endpoint: name, Start: e.start}, Limit: e.limit, At: e.limitAt, Draining: e.draining, BackoffUntil: later(e.backoffUntil, e.othersBackoffUntil)})
 		}
 	}
-	slices.SortFunc(out, func(a, b Word) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+	slices.SortFunc(out, func(a, b Report) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return out
 }
 
 // Merge applies another node's report, and returns the change.
-func (b *Book) Merge(w Word, now time.Time) Change {
+func (b *Registry) Merge(w Report, now time.Time) Change {
 	b.expire(now)
-	e := b.entryFor(w.Life)
+	e := b.entryFor(w.Incarnation)
 	if e == nil {
 		return Change{}
 	}
@@ -66,16 +66,16 @@
 	if w.Limit == 0 && e.limit > 0 && (w.By == "" || w.By != e.limitFrom) {
 		after = after.Add(maxRelayDelay)
 	}
-	c := Change{Life: w.Life, Limit: e.limit, Before: e.limit, Leaves: w.Leaving && !e.draining}
+	c := Change{Incarnation: w.Incarnation, Limit: e.limit, Before: e.limit, Draining: w.Draining && !e.draining}
 	if w.At.After(after) && w.Limit != e.limit {
 		c.Limit, e.limitAt, e.limitFrom = w.Limit, w.At, w.By
 	}
-	if now.After(e.othersBackoffUntil) && w.RestUntil.After(now) {
+	if now.After(e.othersBackoffUntil) && w.BackoffUntil.After(now) {
 		// A backoff binds only the node that was asked for it; here it only lowers the endpoint's reported capacity.
 		b.version++
 		e.version = b.version
 	}
-	e.othersBackoffUntil = later(e.othersBackoffUntil, w.RestUntil)
+	e.othersBackoffUntil = later(e.othersBackoffUntil, w.BackoffUntil)
 	b.commit(e, &c)
 	return c
 }
--- a/core/signal/word_test.go
+++ b/core/signal/word_test.go
@@ -10,25 +10,25 @@
 
 // TestMerge checks which reports change what is known at a node that received a limit of 2 at 10 s.
 func TestMerge(t *testing.T) {
-	life := Life{"i-1", 5}
+	life := Incarnation{"i-1", 5}
 	tests := []struct {
 		name string
-		word Word
+		word Report
 		want float64
 	}{
-		{"a newer limit", Word{Life: life, Limit: 3, At: at(11 * time.Second)}, 3},
-		{"an older limit", Word{Life: life, Limit: 3, At: at(9 * time.Second)}, 2},
-		{"its end, surely later", Word{Life: life, At: at(10*time.Second + maxRelayDelay + 1)}, 0},
-		{"its end, at about the same time", Word{Life: life, At: at(10*time.Second + maxRelayDelay)}, 2},
-		{"the life before", Word{Life: Life{"i-1", 4}, Limit: 3, At: at(11 * time.Second)}, 2},
-		{"another endpoint", Word{Life: Life{"i-2", 5}, Limit: 3, At: at(11 * time.Second)}, 2},
+		{"a newer limit", Report{Incarnation: life, Limit: 3, At: at(11 * time.Second)}, 3},
+		{"an older limit", Report{Incarnation: life, Limit: 3, At: at(9 * time.Second)}, 2},
+		{"its end, surely later", Report{Incarnation: life, At: at(10*time.Second + maxRelayDelay + 1)}, 0},
+		{"its end, at about the same time", Report{Incarnation: life, At: at(10*time.Second + maxRelayDelay)}, 2},
+		{"the life before", Report{Incarnation: Incarnation{"i-1", 4}, Limit: 3, At: at(11 * time.Second)}, 2},
+		{"another endpoint", Report{Incarnation: Incarnation{"i-2", 5}, Limit: 3, At: at(11 * time.Second)}, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := NewBook()
-			b.Hear(life, Said{Limit: 2, Ran: true}, at(9*time.Second), at(10*time.Second))
+			b := NewRegistry()
+			b.Observe(life, Signals{Limit: 2, Ran: true}, at(9*time.Second), at(10*time.Second))
 			c := b.Merge(tt.word, at(12*time.Second))
-			if got := b.Limit(life); got != tt.want || c.News() != (tt.want != 2 || tt.word.Endpoint == "i-2") {
+			if got := b.Limit(life); got != tt.want || c.Changed() != (tt.want != 2 || tt.word.Endpoint == "i-2") {
 				t.Errorf("limit = %g, want %g; change %+v", got, tt.want, c)
 			}
 		})
@@ -37,32 +37,32 @@
 
 // TestSince checks that a node reports each change once, and only the latest state of each endpoint.
 func TestSince(t *testing.T) {
-	b := NewBook()
-	one, two := Life{Endpoint: "i-1"}, Life{Endpoint: "i-2"}
-	b.Hear(one, Said{Limit: 2, Ran: true}, at(0), at(1))
-	b.Hear(two, Said{Limit: 3, Ran: true}, at(0), at(2))
+	b := NewRegistry()
+	one, two := Incarnation{Endpoint: "i-1"}, Incarnation{Endpoint: "i-2"}
+	b.Observe(one, Signals{Limit: 2, Ran: true}, at(0), at(1))
+	b.Observe(two, Signals{Limit: 3, Ran: true}, at(0), at(2))
 	told := b.Version()
-	b.Hear(two, Said{Limit: 3, Ran: true}, at(3), at(4))
+	b.Observe(two, Signals{Limit: 3, Ran: true}, at(3), at(4))
 	if words := b.Since(told); len(words) != 0 {
 		t.Errorf("nothing changed, but Since returns %v", words)
 	}
-	b.Hear(one, Said{Ran: true}, at(5), at(6))
-	if diff := cmp.Diff([]Word{{Life: one, At: at(6)}}, b.Since(told)); diff != "" {
+	b.Observe(one, Signals{Ran: true}, at(5), at(6))
+	if diff := cmp.Diff([]Report{{Incarnation: one, At: at(6)}}, b.Since(told)); diff != "" {
 		t.Errorf("reports since (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff([]Word{{Life: one, At: at(6)}, {Life: two, Limit: 3, At: at(4)}}, b.Since(0)); diff != "" {
+	if diff := cmp.Diff([]Report{{Incarnation: one, At: at(6)}, {Incarnation: two, Limit: 3, At: at(4)}}, b.Since(0)); diff != "" {
 		t.Errorf("all reports (-want +got):\n%s", diff)
 	}
 }
 
 func TestCheck(t *testing.T) {
-	bad := []Word{{}, {Life: Life{"i-1", 0}, Limit: -1, At: start}, {Life: Life{"i-1", 0}, Limit: math.NaN(), At: start}, {Life: Life{"i-1", 0}, Limit: math.Inf(1), At: start}}
+	bad := []Report{{}, {Incarnation: Incarnation{"i-1", 0}, Limit: -1, At: start}, {Incarnation: Incarnation{"i-1", 0}, Limit: math.NaN(), At: start}, {Incarnation: Incarnation{"i-1", 0}, Limit: math.Inf(1), At: start}}
 	for _, w := range bad {
 		if w.Check() == nil {
 			t.Errorf("Check accepts %+v", w)
 		}
 	}
-	if good := (Word{Life: Life{"i-1", 0}, Limit: 1, At: start}); good.Check() != nil {
+	if good := (Report{Incarnation: Incarnation{"i-1", 0}, Limit: 1, At: start}); good.Check() != nil {
 		t.Errorf("Check rejects %+v: %v", good, good.Check())
 	}
 }
@@ -70,26 +70,26 @@
 // TestDrainingUntilNextIncarnation guards against an incarnation that is taken for available again after it reported
 // that it is draining, because of later answers or reports without that signal.
 func TestDrainingUntilNextIncarnation(t *testing.T) {
-	one, two := Life{"i-1", 1}, Life{"i-1", 2}
+	one, two := Incarnation{"i-1", 1}, Incarnation{"i-1", 2}
 	steps := []struct {
 		name string
-		do   func(b *Book)
+		do   func(b *Registry)
 		// leaves tells for both incarnations whether they are draining afterwards.
 		leaves [2]bool
 	}{
-		{"an answer", func(b *Book) { b.Hear(one, Said{Ran: true}, at(0), at(1)) }, [2]bool{false, false}},
-		{"its word", func(b *Book) { b.Hear(one, Said{Leaving: true, Ran: true}, at(1), at(2)) }, [2]bool{true, false}},
-		{"an answer without it", func(b *Book) { b.Hear(one, Said{Ran: true}, at(3), at(4)) }, [2]bool{true, false}},
-		{"another node's word without it", func(b *Book) { b.Merge(Word{Life: one, Limit: 2, At: at(5)}, at(6)) }, [2]bool{true, false}},
-		{"a long time", func(b *Book) { b.expire(at(entryTTL)); b.expire(at(2 * entryTTL)) }, [2]bool{true, false}},
-		{"the next life", func(b *Book) { b.Hear(two, Said{Limit: 1, Ran: true}, at(7), at(8)) }, [2]bool{false, false}},
-		{"a late word of the life before", func(b *Book) { b.Merge(Word{Life: one, At: at(9), Leaving: true}, at(10)) }, [2]bool{false, false}},
-		{"another node's word", func(b *Book) { b.Merge(Word{Life: two, At: at(11), Leaving: true}, at(12)) }, [2]bool{false, true}},
+		{"an answer", func(b *Registry) { b.Observe(one, Signals{Ran: true}, at(0), at(1)) }, [2]bool{false, false}},
+		{"its word", func(b *Registry) { b.Observe(one, Signals{Draining: true, Ran: true}, at(1), at(2)) }, [2]bool{true, false}},
+		{"an answer without it", func(b *Registry) { b.Observe(one, Signals{Ran: true}, at(3), at(4)) }, [2]bool{true, false}},
+		{"another node's word without it", func(b *Registry) { b.Merge(Report{Incarnation: one, Limit: 2, At: at(5)}, at(6)) }, [2]bool{true, false}},
+		{"a long time", func(b *Registry) { b.expire(at(entryTTL)); b.expire(at(2 * entryTTL)) }, [2]bool{true, false}},
+		{"the next life", func(b *Registry) { b.Observe(two, Signals{Limit: 1, Ran: true}, at(7), at(8)) }, [2]bool{false, false}},
+		{"a late word of the life before", func(b *Registry) { b.Merge(Report{Incarnation: one, At: at(9), Draining: true}, at(10)) }, [2]bool{false, false}},
+		{"another node's word", func(b *Registry) { b.Merge(Report{Incarnation: two, At: at(11), Draining: true}, at(12)) }, [2]bool{false, true}},
 	}
-	b := NewBook()
+	b := NewRegistry()
 	for _, s := range steps {
 		s.do(b)
-		if diff := cmp.Diff(s.leaves, [2]bool{b.Leaves(one), b.Leaves(two)}); diff != "" {
+		if diff := cmp.Diff(s.leaves, [2]bool{b.Draining(one), b.Draining(two)}); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", s.name, diff)
 		}
 	}
--- a/internal/bench/burst.go
+++ b/internal/bench/burst.go
@@ -99,7 +99,7 @@
 				go func() {
 					defer wg.Done()
 					prompt := fmt.Sprintf("%s-%d-%d", n.Settings.Name, m, i)
-					res, took := completeWithRetries(ctx, c, nodes, n, client.Ask{
+					res, took := completeWithRetries(ctx, c, nodes, n, client.Completion{
 						Model: site.ModelName(m), Prompt: prompt, Tokens: 8, Stream: i%2 == 0, Timeout: b.Timeout,
 					})
 					mu.Lock()
@@ -117,7 +117,7 @@
 // completeWithRetries sends a repeatable request as a caller behind a load balancer does: if its
 // node fails, it sends the request again to another node. It returns the last result and the total
 // time.
-func completeWithRetries(ctx context.Context, c *client.Client, nodes []*entry.Node, n *entry.Node, a client.Ask) (client.Result, time.Duration) {
+func completeWithRetries(ctx context.Context, c *client.Client, nodes []*entry.Node, n *entry.Node, a client.Completion) (client.Result, time.Duration) {
 	begin := time.Now()
 	res := c.Complete(ctx, n.CallerAddress(), a)
 	for i := 0; i < len(nodes) && ctx.Err() == nil; i++ {
--- a/internal/bench/overload.go
+++ b/internal/bench/overload.go
@@ -95,7 +95,7 @@
 	c := client.New("curator")
 	for range 3 {
 		for _, n := range nodes {
-			c.Complete(ctx, n.CallerAddress(), client.Ask{Model: site.ModelName(0), Prompt: "w", Tokens: answerTokens, Timeout: 20 * time.Second})
+			c.Complete(ctx, n.CallerAddress(), client.Completion{Model: site.ModelName(0), Prompt: "w", Tokens: answerTokens, Timeout: 20 * time.Second})
 		}
 	}
 }
@@ -132,7 +132,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			res := c.Complete(ctx, n.CallerAddress(), client.Ask{Model: site.ModelName(0), Prompt: prompt, Tokens: answerTokens, Timeout: o.Timeout})
+			res := c.Complete(ctx, n.CallerAddress(), client.Completion{Model: site.ModelName(0), Prompt: prompt, Tokens: answerTokens, Timeout: o.Timeout})
 			mu.Lock()
 			defer mu.Unlock()
 			if res.Took > o.Timeout+lateTolerance {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Ask is a chat completion request.
-type Ask struct {
+// Completion is a chat completion request.
+type Completion struct {
 	Model   string
 	Prompt  string
 	Tokens  int
@@ -80,7 +80,7 @@
 }
 
 // Complete sends a chat completion request to the node at an address and checks the answer.
-func (c *Client) Complete(ctx context.Context, address string, a Ask) Result {
+func (c *Client) Complete(ctx context.Context, address string, a Completion) Result {
 	body, err := json.Marshal(completionBody{
 		Model: a.Model, MaxTokens: a.Tokens, Stream: a.Stream, Messages: []message{{"user", a.Prompt}},
 	})
@@ -164,7 +164,7 @@
 	} `json:"choices"`
 }
 
-func (r *Result) readStream(body io.Reader, a Ask, start time.Time) {
+func (r *Result) readStream(body io.Reader, a Completion, start time.Time) {
 	sc := bufio.NewScanner(body)
 	for sc.Scan() {
 		line := sc.Text()
@@ -194,7 +194,7 @@
 	}
 }
 
-func (r *Result) checkToken(data string, a Ask) {
+func (r *Result) checkToken(data string, a Completion) {
 	var ch chunk
 	if err := json.Unmarshal([]byte(data), &ch); err != nil || len(ch.Choices) != 1 {
 		r.Wrong = "an event is no token: " + data
@@ -208,7 +208,7 @@
 	r.Tokens++
 }
 
-func (r *Result) readWhole(body io.Reader, a Ask) {
+func (r *Result) readWhole(body io.Reader, a Completion) {
 	r.Body, r.Err = io.ReadAll(body)
 	if r.Err != nil {
 		return
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -162,8 +162,8 @@
 // View returns the latest published view; never nil.
 func (c *Controller) View() *view.View { return c.view.Load() }
 
-// Heard returns when the log or a peer last reported its offset to this node.
-func (c *Controller) Heard() time.Time { return time.Unix(0, c.lastContact.Load()) }
+// LastContact returns when the log or a peer last reported its offset to this node.
+func (c *Controller) LastContact() time.Time { return time.Unix(0, c.lastContact.Load()) }
 
 // Stopping reports whether a planned stop has begun.
 func (c *Controller) Stopping() bool { return c.stopping.Load() }
@@ -299,7 +299,7 @@
 
 func (c *Controller) instanceLeaving(in instancelist.Instance) bool {
 	_, told := c.leaving[in.ID]
-	return told || in.State == instancelist.StateLeaving
+	return told || in.State == instancelist.StateDraining
 }
 
 // watchers holds the channel that is closed at the next change of the configuration
@@ -347,7 +347,7 @@
 	}
 	c.Logger.Info("planned stop begins")
 	c.inbox.Send(ctx, announceLeaving{})
-	if err := c.List.SayLeaving(ctx, c.Self.Node); err != nil {
+	if err := c.List.AnnounceDraining(ctx, c.Self.Node); err != nil {
 		c.Logger.Warn("cannot announce the planned stop to the platform", "error", err.Error())
 	}
 }
@@ -396,7 +396,7 @@
 			return false
 		}
 	}
-	return c.appender.Quiet()
+	return c.appender.Idle()
 }
 
 // freeze blocks the control goroutine, as a pause of the process would.
--- a/internal/control/fold.go
+++ b/internal/control/fold.go
@@ -132,7 +132,7 @@
 	switch b := o.Record.GetBody().(type) {
 	case *pb.Record_Load:
 		if o.OK() {
-			c.Metrics.Decided.Add(1)
+			c.Metrics.AcceptedLoads.Add(1)
 		}
 	case *pb.Record_Mark:
 		if o.OK() {
@@ -147,7 +147,7 @@
 	if !own || o.Reason == ledger.Repeated {
 		return
 	}
-	c.planner.Settled(o, now)
+	c.planner.ResolveProposal(o, now)
 	if w := c.waiters[o.Record.GetSequence()]; w != nil {
 		delete(c.waiters, o.Record.GetSequence())
 		c.resolved = append(c.resolved, resolvedProposal{w, o})
--- a/internal/control/loops.go
+++ b/internal/control/loops.go
@@ -24,7 +24,7 @@
 	demandInterval = 100 * time.Millisecond
 	// demandRenewInterval is the time after which unchanged demand is reported again,
 	// well before the TTL of a report.
-	demandRenewInterval = demand.Life / 3
+	demandRenewInterval = demand.ReportTTL / 3
 	// homeAckTTL is how long a home counts as responsive after it acknowledged a
 	// demand report.
 	homeAckTTL = 2 * demandRenewInterval
@@ -59,14 +59,14 @@
 	engines := make(map[string]instancelist.Instance)
 	var leaving []string
 	for _, in := range m.list {
-		if in.State == instancelist.StateLeaving && in.ID != c.Self.Node {
+		if in.State == instancelist.StateDraining && in.ID != c.Self.Node {
 			leaving = append(leaving, in.ID)
 		}
 		switch in.Kind {
 		case instancelist.KindNode:
 			nodes = append(nodes, membership.Member{
 				NodeRef: ledger.NodeRef{Node: in.ID}, Address: in.Address, Hall: in.Hall,
-				Leaving: in.State == instancelist.StateLeaving,
+				Leaving: in.State == instancelist.StateDraining,
 			})
 		case instancelist.KindEngine:
 			engines[in.ID] = in
@@ -336,7 +336,7 @@
 	c.Policy.Used(r.Unit, now)
 	if u := c.state.Catalog.Units[r.Unit]; u != nil && u.Base != "" {
 		c.Policy.Used(u.Base, now)
-		c.demand.Used(u.Base, now)
+		c.demand.MarkUsed(u.Base, now)
 	}
 }
 
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -10,7 +10,7 @@
 // of applied records, accepted loads, failed log reads, repeated attempts of orders
 // and written snapshots.
 type Metrics struct {
-	Appends, AppliedRecords, Decided, LogErrors, OrderRetries, Snapshots expvar.Int
+	Appends, AppliedRecords, AcceptedLoads, LogErrors, OrderRetries, Snapshots expvar.Int
 	// Rejected counts rejected records by reason.
 	Rejected expvar.Map
 	// ConfigSpread is the time in milliseconds from the proposal of a configuration
@@ -29,7 +29,7 @@
 	t := new(expvar.Map).Init()
 	t.Set("appends", &m.Appends)
 	t.Set("folds", &m.AppliedRecords)
-	t.Set("loadsDecided", &m.Decided)
+	t.Set("loadsDecided", &m.AcceptedLoads)
 	t.Set("logErrors", &m.LogErrors)
 	t.Set("orderRetries", &m.OrderRetries)
 	t.Set("snapshots", &m.Snapshots)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -25,7 +25,7 @@
 	st := &pb.StatusResponse{
 		Node: c.Self.Node, Ready: c.booted && c.caughtUp && !c.diverged, Stopping: c.stopping.Load(),
 		ConfigRevision: c.state.Revision, NextOffset: c.state.NextOffset,
-		LogAgeMs: now.Sub(c.Heard()).Milliseconds(), Diverged: c.diverged,
+		LogAgeMs: now.Sub(c.LastContact()).Milliseconds(), Diverged: c.diverged,
 		LiveNodes: c.members.Live(now, c.stopping.Load()), Claims: uint32(len(c.state.Claims)),
 	}
 	for name := range c.state.Catalog.Units {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -150,7 +150,7 @@
 				if m%coldModels == coldModels-1 {
 					name = site.AdapterName(0)
 				}
-				ask := client.Ask{Model: name, Prompt: fmt.Sprintf("%s-%d", n.Settings.Name, m), Tokens: tokens, Stream: m%2 == 0, Timeout: askTimeout}
+				ask := client.Completion{Model: name, Prompt: fmt.Sprintf("%s-%d", n.Settings.Name, m), Tokens: tokens, Stream: m%2 == 0, Timeout: askTimeout}
 				res := c.Complete(ctx, n.CallerAddress(), ask)
 				mu.Lock()
 				defer mu.Unlock()
@@ -238,7 +238,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ask := client.Ask{Model: site.ModelName(i % 2), Prompt: fmt.Sprint("stop", i), Tokens: 150, Stream: true, Timeout: askTimeout}
+			ask := client.Completion{Model: site.ModelName(i % 2), Prompt: fmt.Sprint("stop", i), Tokens: 150, Stream: true, Timeout: askTimeout}
 			res := c.Complete(ctx, n.CallerAddress(), ask)
 			mu.Lock()
 			defer mu.Unlock()
@@ -265,7 +265,7 @@
 // violations for overcommitted memory, repeated runs and streams that were cut off.
 func (r *report) checkLoads(f *fleet.Fleet) {
 	for _, n := range f.Nodes() {
-		r.decided = max(r.decided, int(n.Control.Metrics.Decided.Value()))
+		r.decided = max(r.decided, int(n.Control.Metrics.AcceptedLoads.Value()))
 	}
 	r.loaded = f.Site.Loads()
 	if r.loaded > r.decided {
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -119,8 +119,8 @@
 	s := n.Settings
 	n.peers = node.NewClient(self, peerTLS)
 	hooks := traffic.Hooks{
-		Waiting: func() { n.Control.WakeDemand() },
-		Leaving: func(id string) { go n.Control.EndpointLeaving(id) },
+		QueueStarted: func() { n.Control.WakeDemand() },
+		Draining:     func(id string) { go n.Control.EndpointLeaving(id) },
 	}
 	n.Traffic = traffic.New(o.Clock, s.Hall, queue.Limits{Items: s.QueueItems, Bytes: s.QueueBytes}, hooks)
 	n.Control = control.New(control.Options{
--- a/internal/fleet/failure_test.go
+++ b/internal/fleet/failure_test.go
@@ -72,7 +72,7 @@
 // requires the complete answer.
 func requireCompletion(ctx context.Context, t *testing.T, f *fleet.Fleet, node string, model, tokens int) {
 	t.Helper()
-	r := client.New("curator").Complete(ctx, f.Node(node).CallerAddress(), client.Ask{
+	r := client.New("curator").Complete(ctx, f.Node(node).CallerAddress(), client.Completion{
 		Model: site.ModelName(model), Prompt: fmt.Sprint("p", model), Tokens: tokens, Stream: true, Timeout: 40 * time.Second,
 	})
 	if !r.Whole {
@@ -215,10 +215,10 @@
 	for i := range 10 {
 		keys[i] = newKey()
 		go func() {
-			results <- c.Complete(ctx, address, client.Ask{Model: site.ModelName(0), Prompt: "s", Tokens: 100, Stream: true, Timeout: 40 * time.Second})
+			results <- c.Complete(ctx, address, client.Completion{Model: site.ModelName(0), Prompt: "s", Tokens: 100, Stream: true, Timeout: 40 * time.Second})
 		}()
 		go func() {
-			results <- c.Complete(ctx, address, client.Ask{Model: site.ModelName(10 + i%3), Prompt: "c", Tokens: 5, Timeout: 40 * time.Second})
+			results <- c.Complete(ctx, address, client.Completion{Model: site.ModelName(10 + i%3), Prompt: "c", Tokens: 5, Timeout: 40 * time.Second})
 		}()
 		go func() { results <- c.Call(ctx, address, svc, "/x", 40*time.Second, keys[i], []byte("b")) }()
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -41,7 +41,7 @@
 	if _, err := fleet.Publish(ctx, n, shape.Config()); err != nil {
 		t.Fatal(err)
 	}
-	ask := client.Ask{Model: site.ModelName(0), Prompt: "read the label", Tokens: 12, Stream: true, Timeout: 30 * time.Second}
+	ask := client.Completion{Model: site.ModelName(0), Prompt: "read the label", Tokens: 12, Stream: true, Timeout: 30 * time.Second}
 	r := client.New("curator").Complete(ctx, n.CallerAddress(), ask)
 	if !r.Whole {
 		t.Fatalf("answer: %+v", r)
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -50,9 +50,9 @@
 	Loads   placement.Limits
 	// Cores is the processor capacity of the machine, in cores; LinkMbps is its link capacity, in Mbit/s.
 	Cores, LinkMbps float64
-	// Bound is the shortest time within which the platform requires that a changed configuration or a draining endpoint
+	// ReactionBound is the shortest time within which the platform requires that a changed configuration or a draining endpoint
 	// takes effect; 0 if it states none.
-	Bound time.Duration
+	ReactionBound time.Duration
 	// Fenced is true if engines reject orders with an outdated fence.
 	Fenced bool
 	// Tolerance is the excess over customers' limits that the platform tolerates.
@@ -151,7 +151,7 @@
 	for _, i := range n.idleClosers {
 		i.CloseIdleConnections()
 	}
-	n.control.WakeDemand()
+	n.control.RequestReport()
 }
 
 // Start opens the node's addresses and runs it until Stop or Kill. It returns an error if an address other than the one
@@ -191,16 +191,16 @@
 
 func (n *Node) assemble(p Platform) {
 	s := n.s
-	incarnation := lease.NewLife(s.Name)
+	incarnation := lease.NewIncarnation(s.Name)
 	hooks := traffic.Hooks{
-		Waiting: func() { n.control.WakeDemand() },
-		Rare:    func() { n.control.WakeDemand() },
-		Leaving: func(id string) { go n.control.EndpointLeaving(id) },
+		QueueStarted:   func() { n.control.RequestReport() },
+		ScarcePoolBusy: func() { n.control.RequestReport() },
+		Draining:       func(id string) { go n.control.EndpointDraining(id) },
 		Charge: func(ctx context.Context, e view.Endpoint, limit float64) time.Duration {
 			return n.control.ChargeEndpoint(ctx, e, limit)
 		},
-		Heard:   func() { n.control.SignalsChanged() },
-		Missing: func(id, pool string) { go n.control.EngineLacks(id, pool) },
+		SignalsChanged: func() { n.control.SignalsChanged() },
+		ModelMissing:   func(id, pool string) { go n.control.UnitMissing(id, pool) },
 	}
 	endpoints := endpoint.NewClientWith(endpoint.Options{Judge: p.Judge, Dialer: p.Dialer(dialTimeout)})
 	peers := peer.NewClient(p.Dialer(dialTimeout))
@@ -220,10 +220,10 @@
 	n.traffic = traffic.New(n.clock, s.Hall, queue.Limits{Items: queueItems, Bytes: queueBytes}, hooks)
 	n.traffic.SetRegions(s.Regions)
 	n.control = placer.New(placer.Options{
-		Self:  lease.Record{Holder: s.Name, Life: incarnation, Address: s.PeerAddress},
+		Self:  lease.Record{Holder: s.Name, Incarnation: incarnation, Address: s.PeerAddress},
 		Clock: n.clock, Logger: n.logger.Named("control"), Store: p.Store, Engines: p.Engines,
 		Peers: peers, Dispatcher: n.traffic, Isolation: n.isolation, Limits: s.Loads, Retries: s.Retries,
-		TakeoverDelay: takeoverDelay(s.Name, s.Cores), Hall: s.Hall, Strength: s.Cores * s.LinkMbps, Bound: s.Bound, Fenced: s.Fenced, Tolerance: s.Tolerance, Cold: s.Cold,
+		TakeoverDelay: takeoverDelay(s.Name, s.Cores), Hall: s.Hall, Strength: s.Cores * s.LinkMbps, Bound: s.ReactionBound, Fenced: s.Fenced, Tolerance: s.Tolerance, ColdTolerance: s.Cold,
 		Own: []string{s.CallerAddress, s.ReadyAddress, s.PeerAddress, s.MetricsAddress},
 	})
 	n.caller = &caller.Server{
@@ -239,14 +239,14 @@
 // runLocks acquires run locks through the node's control side, which is created after the isolation guard that uses it.
 type runLocks struct{ n *Node }
 
-// TakeTurn implements isolation.TurnTaker.
-func (t runLocks) TakeTurn(ctx context.Context, f quarantine.Fingerprint, run string) time.Duration {
-	return t.n.control.TakeTurn(ctx, f, run)
+// TakeTurn implements isolation.RunLocker.
+func (t runLocks) AcquireRun(ctx context.Context, f quarantine.Fingerprint, run string) time.Duration {
+	return t.n.control.AcquireRun(ctx, f, run)
 }
 
-// ReleaseTurn implements isolation.TurnTaker.
-func (t runLocks) ReleaseTurn(f quarantine.Fingerprint, run string, well bool) {
-	t.n.control.ReleaseTurn(f, run, well)
+// ReleaseTurn implements isolation.RunLocker.
+func (t runLocks) ReleaseRun(f quarantine.Fingerprint, run string, well bool) {
+	t.n.control.ReleaseRun(f, run, well)
 }
 
 // weakDelay is the extra delay before the weakest machine takes over the lease, compared with a machine of at least one
@@ -308,8 +308,8 @@
 	return mux
 }
 
-// Holds reports whether this node holds the lease and so gives orders to the engines.
-func (n *Node) Holds() bool { return n.control.Holds() }
+// HoldsLease reports whether this node holds the lease and so gives orders to the engines.
+func (n *Node) HoldsLease() bool { return n.control.HoldsLease() }
 
 // Stop performs the planned stop: it turns the node unready for the balancer, releases the lease, accepts requests while
 // the balancer may still send them, and finishes all accepted requests as far as StopTimeout allows. It returns an
@@ -319,7 +319,7 @@
 	ctx, cancel := boottime.WithTimeout(context.Background(), n.clock, n.s.StopTimeout-cutReserve)
 	defer cancel()
 	n.logger.Info("stopping", "active", n.caller.Active())
-	n.control.Stop(ctx)
+	n.control.BeginStop(ctx)
 	timer := n.clock.AfterFunc(n.s.StopTimeout-waitReserve, n.traffic.StopWaiting)
 	defer timer.Stop()
 	select {
@@ -328,7 +328,7 @@
 	}
 	err := n.caller.Shutdown(ctx)
 	if err != nil {
-		n.caller.CutOff()
+		n.caller.CancelRequests()
 		n.drain(start.Add(n.s.StopTimeout - stopReserve))
 	}
 	n.logger.Info("stopped", "cutOff", n.caller.Active(), "tookMs", n.clock.Now().Sub(start).Milliseconds())
--- a/internal/hosted/quarantine.go
+++ b/internal/hosted/quarantine.go
@@ -58,7 +58,7 @@
 	out := []Suspect{}
 	for _, s := range n.isolation.List() {
 		out = append(out, Suspect{
-			Request: s.Request, State: s.State.String(), Belief: s.Belief, Ends: s.Ends, Unexplained: s.Unexplained, Trials: s.Trials,
+			Request: s.Request, State: s.State.String(), Belief: s.Probability, Ends: s.Crashes, Unexplained: s.Unexplained, Trials: s.Trials,
 			SinceMs: max(0, now.Sub(s.Since)).Milliseconds(),
 		})
 	}
--- a/internal/isolation/guard.go
+++ b/internal/isolation/guard.go
@@ -27,7 +27,7 @@
 	// node may not start it. Nil if there is only this node.
 	Claim func(ctx context.Context, e quarantine.Entry) error
 	// Turns holds the run locks shared by all nodes; nil if there is only this node.
-	Turns TurnTaker
+	Turns RunLocker
 }
 
 // Guard tracks the requests that crash engines for one node. It is safe for concurrent use.
@@ -39,12 +39,12 @@
 	registry *quarantine.Registry
 	tracker  *quarantine.Tracker
 	// probes holds the connection probes in progress; each channel is closed when the result is known.
-	probes map[quarantine.Life]chan struct{}
+	probes map[quarantine.Incarnation]chan struct{}
 	// expiredAt is when expired records and runs were last removed.
 	expiredAt time.Time
 	// startTimes holds the latest published start time of each engine, by name, in Unix milliseconds.
 	startTimes map[string]int64
-	locks      *quarantine.Turns
+	locks      *quarantine.RunLocks
 	// runSeq numbers this node's runs, to identify the holders of run locks.
 	runSeq atomic.Int64
 }
@@ -59,7 +59,7 @@
 	}
 	return &Guard{
 		o: o, registry: quarantine.NewRegistry(o.Clock.Now()), tracker: quarantine.NewTracker(),
-		probes: make(map[quarantine.Life]chan struct{}), startTimes: make(map[string]int64), locks: quarantine.NewTurns(),
+		probes: make(map[quarantine.Incarnation]chan struct{}), startTimes: make(map[string]int64), locks: quarantine.NewRunLocks(),
 	}
 }
 
@@ -80,9 +80,9 @@
 		}
 	}
 	if g.State(f) == quarantine.Isolated {
-		g.Judge()
+		g.Evaluate()
 	}
-	if err = g.Held(f); err == nil {
+	if err = g.Blocked(f); err == nil {
 		return false, nil
 	}
 	if g.beginTrial(ctx, f) {
@@ -94,20 +94,20 @@
 func (g *Guard) unsettled(f quarantine.Fingerprint) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.registry.Unsettled(f, g.o.Clock.Now())
+	return g.registry.SettleDelay(f, g.o.Clock.Now())
 }
 
-// Held returns an error if a request is blocked now, and nil otherwise.
-func (g *Guard) Held(f quarantine.Fingerprint) error {
+// Blocked returns an error if a request is blocked now, and nil otherwise.
+func (g *Guard) Blocked(f quarantine.Fingerprint) error {
 	g.mu.Lock()
-	retryAfter, blocked := g.registry.Held(f, g.o.Clock.Now())
+	retryAfter, blocked := g.registry.Blocked(f, g.o.Clock.Now())
 	doubtful := !blocked && g.registry.Doubtful(f)
 	g.mu.Unlock()
 	switch {
 	case blocked:
-		return refusal.New(refusal.Quarantined, "engines crashed while they ran request %s; retry later, or have an operator release it", f).After(retryAfter)
+		return refusal.New(refusal.Quarantined, "engines crashed while they ran request %s; retry later, or have an operator release it", f).WithRetryAfter(retryAfter)
 	case doubtful && !g.o.Fresh():
-		return refusal.New(refusal.Quarantined, "engines crashed while they ran request %s, and the entries of other nodes are out of date; retry", f).After(staleRetryAfter)
+		return refusal.New(refusal.Quarantined, "engines crashed while they ran request %s, and the entries of other nodes are out of date; retry", f).WithRetryAfter(staleRetryAfter)
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 	if g.o.Claim != nil {
 		if err := g.o.Claim(ctx, entry); err != nil {
 			g.o.Logger.Info("trial run of a quarantined request not started", "fingerprint", f.String(), "error", err.Error())
-			g.TrialOver(f)
+			g.EndTrial(f)
 			return false
 		}
 	}
@@ -137,25 +137,25 @@
 	return true
 }
 
-// TrialOver records that the trial of a request is over, or was given up before the run. It has no effect on a
+// EndTrial records that the trial of a request is over, or was given up before the run. It has no effect on a
 // request that is not on trial.
-func (g *Guard) TrialOver(f quarantine.Fingerprint) {
+func (g *Guard) EndTrial(f quarantine.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.registry.EndTrial(f, g.o.Clock.Now())
 }
 
 // recordCrash records a crash found by the tracker's method end, with the requests that the engine ran as suspects.
-func (g *Guard) recordCrash(incarnation quarantine.Life, end func(quarantine.Life, time.Time) (quarantine.EndID, []quarantine.Fingerprint, []quarantine.Blame)) {
+func (g *Guard) recordCrash(incarnation quarantine.Incarnation, end func(quarantine.Incarnation, time.Time) (quarantine.CrashID, []quarantine.Fingerprint, []quarantine.Suspicion)) {
 	g.mu.Lock()
 	now := g.o.Clock.Now()
 	id, requests, blames := end(incarnation, now)
-	if id == (quarantine.EndID{}) {
+	if id == (quarantine.CrashID{}) {
 		g.mu.Unlock()
 		return
 	}
-	g.registry.Ended(id, now)
-	transitioned := g.registry.Blame(requests, blames, now)
+	g.registry.RecordCrash(id, now)
+	transitioned := g.registry.Suspect(requests, blames, now)
 	g.mu.Unlock()
 	g.Metrics.Ended.Add(1)
 	g.o.Logger.Info("engine crashed", "engine", incarnation.Engine, "born", incarnation.Start, "running", len(requests))
@@ -166,14 +166,14 @@
 const maxLogLines = 8
 
 // announce logs suspicions and the resulting states, and notifies the other nodes.
-func (g *Guard) announce(requests []quarantine.Fingerprint, blames []quarantine.Blame, transitioned []quarantine.Fingerprint) {
+func (g *Guard) announce(requests []quarantine.Fingerprint, blames []quarantine.Suspicion, transitioned []quarantine.Fingerprint) {
 	for i, f := range requests {
 		if i == maxLogLines {
 			g.o.Logger.Info("further suspects of the crash not logged", "count", len(requests)-maxLogLines)
 			break
 		}
 		g.logStatus("request suspected of an engine crash", f, "engine", blames[i].End.Engine, "born", blames[i].End.Start,
-			"ranMs", blames[i].Ran.Milliseconds(), "begun", blames[i].Begun, "beside", len(requests)-1)
+			"ranMs", blames[i].Elapsed.Milliseconds(), "begun", blames[i].Begun, "beside", len(requests)-1)
 	}
 	g.Metrics.Blamed.Add(int64(len(requests)))
 	g.scheduleEvaluation()
@@ -199,28 +199,28 @@
 	s := g.registry.Status(f)
 	g.mu.Unlock()
 	g.o.Logger.Info(message, append([]any{
-		"fingerprint", f.String(), "state", s.State.String(), "belief", s.Belief, "ends", s.Ends, "unexplained", s.Unexplained, "trials", s.Trials,
+		"fingerprint", f.String(), "state", s.State.String(), "belief", s.Probability, "ends", s.Crashes, "unexplained", s.Unexplained, "trials", s.Trials,
 	}, args...)...)
 }
 
-// Seen records an engine's published entry, and whether it is draining. A later start time than before means that the
+// EngineSeen records an engine's published entry, and whether it is draining. A later start time than before means that the
 // former incarnation has crashed.
-func (g *Guard) Seen(incarnation quarantine.Life, draining bool) {
+func (g *Guard) EngineSeen(incarnation quarantine.Incarnation, draining bool) {
 	g.mu.Lock()
 	former, known := g.startTimes[incarnation.Engine]
 	g.startTimes[incarnation.Engine] = incarnation.Start
-	g.tracker.Leaving(incarnation, draining, g.o.Clock.Now())
+	g.tracker.SetDraining(incarnation, draining, g.o.Clock.Now())
 	g.mu.Unlock()
 	if known && former != 0 && incarnation.Start > former {
-		g.recordCrash(quarantine.Life{Engine: incarnation.Engine, Start: former}, g.tracker.Restart)
+		g.recordCrash(quarantine.Incarnation{Engine: incarnation.Engine, Start: former}, g.tracker.Restart)
 	}
 }
 
-// Gone records that an engine's entry was removed.
-func (g *Guard) Gone(engine string) {
+// EngineRemoved records that an engine's entry was removed.
+func (g *Guard) EngineRemoved(engine string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tracker.Leaving(quarantine.Life{Engine: engine, Start: g.startTimes[engine]}, true, g.o.Clock.Now())
+	g.tracker.SetDraining(quarantine.Incarnation{Engine: engine, Start: g.startTimes[engine]}, true, g.o.Clock.Now())
 	delete(g.startTimes, engine)
 }
 
@@ -231,17 +231,17 @@
 	g.registry.SetEngines(n)
 }
 
-// SetWhole sets whether the blames of all nodes arrive here.
-func (g *Guard) SetWhole(complete bool) {
+// SetComplete sets whether the blames of all nodes arrive here.
+func (g *Guard) SetComplete(complete bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.registry.SetWhole(complete)
+	g.registry.SetComplete(complete)
 }
 
-// Judge evaluates the crashes whose suspects are all known by now. It must be called several times per second.
-func (g *Guard) Judge() {
+// Evaluate evaluates the crashes whose suspects are all known by now. It must be called several times per second.
+func (g *Guard) Evaluate() {
 	g.mu.Lock()
-	transitioned := g.registry.Judge(g.o.Clock.Now())
+	transitioned := g.registry.Evaluate(g.o.Clock.Now())
 	g.mu.Unlock()
 	if len(transitioned) > 0 {
 		g.logTransitions(transitioned, "here")
@@ -254,7 +254,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.registry.Pending() {
-		g.o.Clock.AfterFunc(quarantine.Settle, g.Judge)
+		g.o.Clock.AfterFunc(quarantine.SettleTime, g.Evaluate)
 	}
 }
 
@@ -283,11 +283,11 @@
 	return g.registry.Since(version, scope)
 }
 
-// ToldVersion returns a version that increases with each change that matters to other nodes.
-func (g *Guard) ToldVersion() uint64 {
+// SharedVersion returns a version that increases with each change that matters to other nodes.
+func (g *Guard) SharedVersion() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.registry.ToldVersion()
+	return g.registry.SharedVersion()
 }
 
 // List returns the status of all requests with a record.
--- a/internal/isolation/guard_test.go
+++ b/internal/isolation/guard_test.go
@@ -34,7 +34,7 @@
 	t.Helper()
 	run := g.Send(fingerprint(path), view.Endpoint{Name: engine})
 	run.Began()
-	return run.Broke(t.Context())
+	return run.ConnectionBroke(t.Context())
 }
 
 // TestBrokenConnection guards against requests that are blamed for a broken connection while the engine is still
@@ -92,7 +92,7 @@
 		case k := <-kind:
 			got, waiting = append(got, k), false
 		default:
-			clock.Advance(quarantine.Settle / 10)
+			clock.Advance(quarantine.SettleTime / 10)
 			runtime.Gosched()
 		}
 	}
@@ -121,8 +121,8 @@
 	breakConnection(t, g, "/a", "e1")
 	clock.Advance(time.Second)
 	breakConnection(t, g, "/a", "e2")
-	clock.Advance(quarantine.Settle)
-	g.Judge()
+	clock.Advance(quarantine.SettleTime)
+	g.Evaluate()
 	clock.Advance(11 * time.Minute)
 	if trial, err := g.Admit(t.Context(), f); trial || err == nil {
 		t.Errorf("trial without a claim: %v", err)
@@ -135,12 +135,12 @@
 	if claimed != 2 {
 		t.Errorf("trial %d was claimed, want 2", claimed)
 	}
-	if err := g.Held(f); err == nil {
+	if err := g.Blocked(f); err == nil {
 		t.Error("a second run is admitted during the trial")
 	}
 	run := g.Send(f, view.Endpoint{Name: "e3"})
 	run.Answered(true)
-	if err := g.Held(f); err != nil {
+	if err := g.Blocked(f); err != nil {
 		t.Errorf("after a good answer: %v", err)
 	}
 }
@@ -152,12 +152,12 @@
 	g := testGuard(clockwork.NewFakeClock(), func() bool { return true })
 	g.SetEngines(4)
 	for _, engine := range []string{"a", "b", "c", "d"} {
-		g.Seen(quarantine.Life{Engine: engine, Start: 1}, false)
+		g.EngineSeen(quarantine.Incarnation{Engine: engine, Start: 1}, false)
 		g.Send(fingerprint("/proper"), view.Endpoint{Name: engine, Start: 1}).NotSent()
 		g.Send(fingerprint("/waits"), view.Endpoint{Name: engine, Start: 1})
 	}
 	for _, engine := range []string{"a", "b", "c", "d"} {
-		g.Seen(quarantine.Life{Engine: engine, Start: 2}, false)
+		g.EngineSeen(quarantine.Incarnation{Engine: engine, Start: 2}, false)
 	}
 	got := []string{g.State(fingerprint("/proper")).String(), g.State(fingerprint("/waits")).String()}
 	if diff := cmp.Diff([]string{"clear", "quarantined"}, got); diff != "" {
@@ -173,9 +173,9 @@
 	fresh := true
 	g.o.Fresh = func() bool { return fresh }
 	g.SetEngines(9)
-	g.SetWhole(false)
+	g.SetComplete(false)
 	f := fingerprint("/a")
-	held := func() bool { return g.Held(f) != nil }
+	held := func() bool { return g.Blocked(f) != nil }
 	got := []bool{held()}
 	breakConnection(t, g, "/a", "e1")
 	fresh = false
@@ -196,11 +196,11 @@
 	clock := clockwork.NewFakeClock()
 	g := testGuard(clock, func() bool { return true })
 	for i := range 100 {
-		g.Send(fingerprint("/a"), view.Endpoint{Name: fmt.Sprint("e", i)}).Left()
+		g.Send(fingerprint("/a"), view.Endpoint{Name: fmt.Sprint("e", i)}).Abandoned()
 	}
 	clock.Advance(time.Hour)
 	g.Send(fingerprint("/b"), view.Endpoint{Name: "f"})
-	if n := g.tracker.Lives(); n != 1 {
+	if n := g.tracker.Incarnations(); n != 1 {
 		t.Errorf("%d engines are remembered, want 1", n)
 	}
 }
--- a/internal/isolation/run.go
+++ b/internal/isolation/run.go
@@ -26,7 +26,7 @@
 	g           *Guard
 	run         *quarantine.Run
 	request     quarantine.Fingerprint
-	incarnation quarantine.Life
+	incarnation quarantine.Incarnation
 	address     string
 	finished    bool
 }
@@ -36,7 +36,7 @@
 
 // Send records that a request is about to be sent to an endpoint.
 func (g *Guard) Send(f quarantine.Fingerprint, ep view.Endpoint) *Run {
-	incarnation := quarantine.Life{Engine: ep.Name, Start: ep.Start}
+	incarnation := quarantine.Incarnation{Engine: ep.Name, Start: ep.Start}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.o.Clock.Now()
@@ -73,7 +73,7 @@
 		g.o.Logger.Info("request cleared by a successful answer", "fingerprint", r.request.String(), "engine", r.incarnation.Engine)
 		g.o.Changed()
 	}
-	g.TrialOver(r.request)
+	g.EndTrial(r.request)
 }
 
 // NotSent records that nothing of the request reached the endpoint, so that no crash of it is blamed on the request.
@@ -86,35 +86,35 @@
 	r.g.mu.Lock()
 	r.g.tracker.Drop(r.run)
 	r.g.mu.Unlock()
-	r.g.TrialOver(r.request)
+	r.g.EndTrial(r.request)
 }
 
-// Left records that the attempt was abandoned without an answer.
-func (r *Run) Left() {
+// Abandoned records that the attempt was abandoned without an answer.
+func (r *Run) Abandoned() {
 	if r.finished {
 		return
 	}
 	r.finished = true
 	r.g.mu.Lock()
-	r.g.tracker.Leave(r.run, r.g.o.Clock.Now())
+	r.g.tracker.Abandon(r.run, r.g.o.Clock.Now())
 	r.g.mu.Unlock()
-	r.g.TrialOver(r.request)
+	r.g.EndTrial(r.request)
 }
 
-// Broke records that the connection broke, probes the engine, and reports whether it is known to have crashed.
-func (r *Run) Broke(ctx context.Context) (crashed bool) {
+// ConnectionBroke records that the connection broke, probes the engine, and reports whether it is known to have crashed.
+func (r *Run) ConnectionBroke(ctx context.Context) (crashed bool) {
 	if r.finished {
 		return false
 	}
 	r.finished = true
 	g := r.g
-	defer g.TrialOver(r.request)
+	defer g.EndTrial(r.request)
 	g.mu.Lock()
 	now := g.o.Clock.Now()
 	if blame, known := g.tracker.Break(r.run, now); known {
-		transitioned := g.registry.Blame([]quarantine.Fingerprint{r.request}, []quarantine.Blame{blame}, now)
+		transitioned := g.registry.Suspect([]quarantine.Fingerprint{r.request}, []quarantine.Suspicion{blame}, now)
 		g.mu.Unlock()
-		g.announce([]quarantine.Fingerprint{r.request}, []quarantine.Blame{blame}, transitioned)
+		g.announce([]quarantine.Fingerprint{r.request}, []quarantine.Suspicion{blame}, transitioned)
 		return true
 	}
 	done, probing := g.probes[r.incarnation]
@@ -133,25 +133,25 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.tracker.Ended(r.incarnation, g.o.Clock.Now())
+	return g.tracker.Crashed(r.incarnation, g.o.Clock.Now())
 }
 
 // probe finds out whether an engine whose connections broke is gone. If it still accepts a connection, it is probed
 // once more after exitDelay, since a terminating process may close its listener last.
-func (g *Guard) probe(incarnation quarantine.Life, address string, done chan struct{}) {
+func (g *Guard) probe(incarnation quarantine.Incarnation, address string, done chan struct{}) {
 	refused := g.refuses(address)
 	g.mu.Lock()
 	delete(g.probes, incarnation)
 	g.mu.Unlock()
 	if refused {
-		g.recordCrash(incarnation, g.tracker.End)
+		g.recordCrash(incarnation, g.tracker.EngineCrashed)
 		close(done)
 		return
 	}
 	close(done)
 	g.o.Clock.Sleep(exitDelay)
 	if g.refuses(address) {
-		g.recordCrash(incarnation, g.tracker.End)
+		g.recordCrash(incarnation, g.tracker.EngineCrashed)
 	}
 }
 
--- a/internal/isolation/turn.go
+++ b/internal/isolation/turn.go
@@ -19,24 +19,24 @@
 	minRetryAfter = time.Second
 )
 
-// TurnTaker provides run locks that are shared by all nodes, so that copies of an isolated request run one after the
+// RunLocker provides run locks that are shared by all nodes, so that copies of an isolated request run one after the
 // other.
-type TurnTaker interface {
-	// TakeTurn acquires the run lock of a request for a run. It returns 0 if it succeeded, and otherwise the delay
+type RunLocker interface {
+	// AcquireRun acquires the run lock of a request for a run. It returns 0 if it succeeded, and otherwise the delay
 	// after which to retry.
-	TakeTurn(ctx context.Context, f quarantine.Fingerprint, run string) (retryAfter time.Duration)
-	// ReleaseTurn releases the lock; answered is true if an engine answered the run.
-	ReleaseTurn(f quarantine.Fingerprint, run string, answered bool)
+	AcquireRun(ctx context.Context, f quarantine.Fingerprint, run string) (retryAfter time.Duration)
+	// ReleaseRun releases the lock; answered is true if an engine answered the run.
+	ReleaseRun(f quarantine.Fingerprint, run string, answered bool)
 }
 
-// Turn waits until a copy of a request may run; a request that is not isolated does not wait. The returned function
+// AcquireRun waits until a copy of a request may run; a request that is not isolated does not wait. The returned function
 // must be called when the run is over. The error is a refusal if the request is blocked or the lock is not free
 // within lockTimeout, or the context's error.
-func (g *Guard) Turn(ctx context.Context, f quarantine.Fingerprint) (release func(answered bool), err error) {
+func (g *Guard) AcquireRun(ctx context.Context, f quarantine.Fingerprint) (release func(answered bool), err error) {
 	run := strconv.FormatInt(g.runSeq.Add(1), 10)
 	until := g.o.Clock.Now().Add(lockTimeout)
 	for {
-		if err := g.Held(f); err != nil {
+		if err := g.Blocked(f); err != nil {
 			return nil, err
 		}
 		if g.State(f) != quarantine.Isolated {
@@ -47,7 +47,7 @@
 			return func(answered bool) { g.releaseLock(f, run, answered) }, nil
 		}
 		if !g.o.Clock.Now().Add(min(retryAfter, lockRetryInterval)).Before(until) {
-			return nil, refusal.New(refusal.Quarantined, "engines crashed while they ran request %s, and another copy of it is running; retry", f).After(max(minRetryAfter, retryAfter))
+			return nil, refusal.New(refusal.Quarantined, "engines crashed while they ran request %s, and another copy of it is running; retry", f).WithRetryAfter(max(minRetryAfter, retryAfter))
 		}
 		select {
 		case <-g.o.Clock.After(min(retryAfter, lockRetryInterval)):
@@ -60,12 +60,12 @@
 // acquireLock takes the node's own lock first, so that only one of its copies asks the other nodes.
 func (g *Guard) acquireLock(ctx context.Context, f quarantine.Fingerprint, run string) (retryAfter time.Duration) {
 	g.mu.Lock()
-	retryAfter = g.locks.Take(f, run, g.o.Clock.Now())
+	retryAfter = g.locks.Acquire(f, run, g.o.Clock.Now())
 	g.mu.Unlock()
 	if retryAfter > 0 || g.o.Turns == nil {
 		return retryAfter
 	}
-	if retryAfter = g.o.Turns.TakeTurn(ctx, f, run); retryAfter > 0 {
+	if retryAfter = g.o.Turns.AcquireRun(ctx, f, run); retryAfter > 0 {
 		g.releaseLocal(f, run, true)
 	}
 	return retryAfter
@@ -74,7 +74,7 @@
 func (g *Guard) releaseLock(f quarantine.Fingerprint, run string, answered bool) {
 	g.releaseLocal(f, run, answered)
 	if g.o.Turns != nil {
-		g.o.Turns.ReleaseTurn(f, run, answered)
+		g.o.Turns.ReleaseRun(f, run, answered)
 	}
 }
 
--- a/internal/isolation/turn_test.go
+++ b/internal/isolation/turn_test.go
@@ -18,16 +18,16 @@
 type sharedLocks struct {
 	mu    sync.Mutex
 	clock clockwork.Clock
-	locks *quarantine.Turns
+	locks *quarantine.RunLocks
 }
 
-func (s *sharedLocks) TakeTurn(_ context.Context, f quarantine.Fingerprint, run string) time.Duration {
+func (s *sharedLocks) AcquireRun(_ context.Context, f quarantine.Fingerprint, run string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.locks.Take(f, run, s.clock.Now())
+	return s.locks.Acquire(f, run, s.clock.Now())
 }
 
-func (s *sharedLocks) ReleaseTurn(f quarantine.Fingerprint, run string, well bool) {
+func (s *sharedLocks) ReleaseRun(f quarantine.Fingerprint, run string, well bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.locks.Release(f, run, well, s.clock.Now())
@@ -35,14 +35,14 @@
 
 // newIsolatingGuards returns guards of several nodes at which a request is isolated.
 func newIsolatingGuards(clock clockwork.Clock, nodes int, f quarantine.Fingerprint) []*Guard {
-	turns := &sharedLocks{clock: clock, locks: quarantine.NewTurns()}
-	blame := []quarantine.Blame{{End: quarantine.EndID{Engine: "e"}, Ran: 40 * time.Millisecond, Begun: true, At: clock.Now()}}
+	turns := &sharedLocks{clock: clock, locks: quarantine.NewRunLocks()}
+	blame := []quarantine.Suspicion{{End: quarantine.CrashID{Engine: "e"}, Elapsed: 40 * time.Millisecond, Begun: true, At: clock.Now()}}
 	var guards []*Guard
 	for range nodes {
 		g := New(Options{Clock: clock, Logger: hclog.NewNullLogger(), Turns: turns})
-		g.SetWhole(false)
+		g.SetComplete(false)
 		g.SetEngines(9)
-		g.Merge([]quarantine.Entry{{Request: f, At: clock.Now(), Blames: blame}}, "holder")
+		g.Merge([]quarantine.Entry{{Request: f, At: clock.Now(), Suspicions: blame}}, "holder")
 		guards = append(guards, g)
 	}
 	return guards
@@ -58,7 +58,7 @@
 			t.Fatalf("state at node %d is %v, want isolated", i, got)
 		}
 	}
-	over, err := guards[0].Turn(t.Context(), f)
+	over, err := guards[0].AcquireRun(t.Context(), f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 	results := make(chan result)
 	for i := range 6 {
 		go func() {
-			over, err := guards[i%3].Turn(context.Background(), f)
+			over, err := guards[i%3].AcquireRun(context.Background(), f)
 			results <- result{over, err}
 		}()
 	}
@@ -92,13 +92,13 @@
 		t.Errorf("refusals (-want +got):\n%s", diff)
 	}
 	over(false)
-	clock.Advance(quarantine.Settle + quarantine.Tell)
-	over, err = guards[1].Turn(t.Context(), f)
+	clock.Advance(quarantine.SettleTime + quarantine.PropagationTime)
+	over, err = guards[1].AcquireRun(t.Context(), f)
 	if err != nil {
 		t.Errorf("a copy after the first is refused: %v", err)
 	}
 	over(true)
-	if _, err = guards[2].Turn(t.Context(), f); err != nil {
+	if _, err = guards[2].AcquireRun(t.Context(), f); err != nil {
 		t.Errorf("a copy after one that was answered is refused: %v", err)
 	}
 }
--- a/internal/modelcheck/claims.go
+++ b/internal/modelcheck/claims.go
@@ -68,7 +68,7 @@
 // replay applies the first n records of a log and returns the state and the outcome of each record.
 func (m *claimModel) replay(log string, n int) (*ledger.State, []ledger.Outcome) {
 	s := ledger.NewState()
-	s.Off = m.guards.DisabledGuards
+	s.DisabledGuards = m.guards.DisabledGuards
 	var outcomes []ledger.Outcome
 	id := make([]byte, len(ledger.ClaimID{}))
 	for i, line := range strings.SplitN(log, "\n", n+1)[:n] {
--- a/internal/modelcheck/placement.go
+++ b/internal/modelcheck/placement.go
@@ -138,7 +138,7 @@
 		return s
 	}
 	s := ledger.NewState()
-	s.Off = m.guards.DisabledGuards
+	s.DisabledGuards = m.guards.DisabledGuards
 	offset := uint64(0)
 	for _, r := range placementPreamble(m.guards) {
 		s.Apply(offset, r)
--- a/internal/modelcheck/publish.go
+++ b/internal/modelcheck/publish.go
@@ -53,7 +53,7 @@
 // each record.
 func (m *publishModel) replay(w publishWorld) (*ledger.State, []ledger.Outcome, []uint64) {
 	s := ledger.NewState()
-	s.Off = m.disabled
+	s.DisabledGuards = m.disabled
 	var outcomes []ledger.Outcome
 	var before []uint64
 	for i := range w.n {
--- a/internal/placer/controller.go
+++ b/internal/placer/controller.go
@@ -52,11 +52,11 @@
 // feeders, and Lease and Exchange by any node.
 type Peers interface {
 	Report(ctx context.Context, address string, r *peer.Report) error
-	Watch(ctx context.Context, address string, q peer.Question) (*peer.Snapshot, error)
+	Watch(ctx context.Context, address string, q peer.WatchRequest) (*peer.Snapshot, error)
 	Lease(ctx context.Context, address string) (*peer.LeaseMark, error)
 	Exchange(ctx context.Context, address string, e *peer.Exchange) (*peer.Exchange, error)
-	Credit(ctx context.Context, address string, q *peer.CreditQuestion) (*peer.Credit, error)
-	Turn(ctx context.Context, address string, q *peer.TurnQuestion) (*peer.Turn, error)
+	RequestGrant(ctx context.Context, address string, q *peer.GrantRequest) (*peer.Grant, error)
+	RequestRunLock(ctx context.Context, address string, q *peer.RunLockRequest) (*peer.RunLock, error)
 }
 
 // Options configure a [Controller].
@@ -87,8 +87,8 @@
 	Fenced bool
 	// Tolerance is by how much requests may exceed customers' limits.
 	Tolerance quota.Tolerance
-	// Cold is by how much requests may exceed the rate that a cold endpoint accepts.
-	Cold quota.ColdTolerance
+	// ColdTolerance is by how much requests may exceed the rate that a cold endpoint accepts.
+	ColdTolerance quota.ColdTolerance
 	// Own holds the addresses on which this node listens. An endpoint entry with one of them is rejected, since this
 	// node would forward requests to itself.
 	Own []string
@@ -238,9 +238,9 @@
 	c.startedAt = o.Clock.Now()
 	c.published.init()
 	c.relay.init()
-	c.quotas.init(o.Self.Life, o.Tolerance)
+	c.quotas.init(o.Self.Incarnation, o.Tolerance)
 	c.suspects.init(&c.o)
-	c.runLocks.locks = quarantine.NewTurns()
+	c.runLocks.locks = quarantine.NewRunLocks()
 	c.leaseUncertain.Store(true)
 	c.allowance = retry.NewAllowance(o.Retries)
 	c.limitRetries(o.Clock.Now())
@@ -260,8 +260,8 @@
 // Ready reports whether the platform's load balancer may send traffic to this node.
 func (c *Controller) Ready() bool { return c.View().Ready && !c.Stopping() }
 
-// Holds reports whether this node orders the engines now.
-func (c *Controller) Holds() bool { return c.leading.Load() }
+// HoldsLease reports whether this node orders the engines now.
+func (c *Controller) HoldsLease() bool { return c.leading.Load() }
 
 // Run runs the controller until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
@@ -325,7 +325,7 @@
 // dropExpired updates the endpoints whose entries have expired from the directory since the last check.
 func (c *Controller) dropExpired(now time.Time) {
 	expired := false
-	for _, id := range c.directory.Leaving() {
+	for _, id := range c.directory.Gone() {
 		if c.index.has(id) && c.directory.Find(id, now) == nil {
 			c.touch(id)
 			expired = true
@@ -358,13 +358,13 @@
 // maintainLease renews or takes the lease, and starts or ends this node's term when the lease is gained or lost.
 func (c *Controller) maintainLease(ctx context.Context, now time.Time) {
 	c.handOver(ctx, now)
-	if c.lease.Wants(now) && !c.handingOver && !c.stopping.Load() && !c.defersToHolder(now) && !c.listTimedOut(now) {
+	if c.lease.ShouldAppend(now) && !c.handingOver && !c.stopping.Load() && !c.defersToHolder(now) && !c.listTimedOut(now) {
 		c.lease.SetMembers(c.quotas.members(now))
 		rec := c.lease.Begin(now, c.outage.Others(now))
 		go c.append(ctx, c.lease.End(), rec)
 	}
 	if c.planner.Fenced() {
-		c.lease.Deposed()
+		c.lease.Superseded()
 	}
 	fence, held := c.lease.Held(now)
 	c.paused = false
@@ -374,14 +374,14 @@
 		c.published.extend(c.lease.Until())
 		c.outage.Acting(now)
 	case c.held:
-		var verdict lease.Verdict
+		var verdict lease.Decision
 		verdict, why = c.outage.Decide(c.lease, now)
-		held, c.paused = verdict != lease.GiveUp, verdict == lease.Pause
-		if verdict == lease.GoOn {
+		held, c.paused = verdict != lease.StepDown, verdict == lease.Wait
+		if verdict == lease.Continue {
 			c.published.extend(now.Add(unleasedOrderWindow))
 		}
 	}
-	c.published.setHolderLostStore(held && c.outage.Doubts(c.lease, now))
+	c.published.setHolderLostStore(held && c.outage.SuspectsStore(c.lease, now))
 	if held && c.held && c.listed && !c.termPublished {
 		c.beginTerm(fence, now)
 	}
@@ -399,7 +399,7 @@
 	if held {
 		c.heldSince = now
 		c.o.Logger.Info("lease gained", "fence", fence)
-		c.outage.Gained(c.lease, now)
+		c.outage.Acquired(c.lease, now)
 		c.relay.end()
 		c.inherited = c.holderState.serving
 		c.listChanged(now)
@@ -431,7 +431,7 @@
 func (c *Controller) beginTerm(fence uint64, now time.Time) {
 	c.terms++
 	c.termPublished = true
-	c.published.begin(fmt.Sprintf("%s/%d", c.o.Self.Life, c.terms), fence, c.allowance.Nodes(now), c.directory.Records(now), c.listedTo)
+	c.published.begin(fmt.Sprintf("%s/%d", c.o.Self.Incarnation, c.terms), fence, c.allowance.Nodes(now), c.directory.Records(now), c.listedTo)
 }
 
 // listTimeout is how long a lease holder may take to read the list of endpoints. A holder that cannot read it stops
@@ -450,13 +450,13 @@
 }
 
 // unleasedOrderWindow is how far ahead a holder whose lease has expired permits its own orders. Together with
-// [lease.VouchFresh] it is less than holderTTL.
+// [lease.ReportFresh] it is less than holderTTL.
 const unleasedOrderWindow = 300 * time.Millisecond
 
 // defersToHolder reports whether this node leaves a holder that could not renew in place: the holder still sends
 // snapshots, and the store did not answer this node either.
 func (c *Controller) defersToHolder(now time.Time) bool {
-	return !c.held && c.holderState.fresh && c.outage.FailedLately(now)
+	return !c.held && c.holderState.fresh && c.outage.FailedRecently(now)
 }
 
 // append appends a lease record and sends the result to the owner.
@@ -489,7 +489,7 @@
 }
 
 func (m leaseAppended) handle(c *Controller) {
-	c.lease.Appended(m.offset, c.o.Clock.Now())
+	c.lease.Acknowledged(m.offset, c.o.Clock.Now())
 	c.outage.Renewed(c.o.Clock.Now())
 	// A holder does not read the lease topic, so that its appends are what shows that the store answers.
 	c.storeHealth.succeeded(m.begun)
@@ -504,9 +504,9 @@
 	c.leaseUncertain.Store(true)
 }
 
-// Stop begins a planned stop: the node reports that it is stopping and releases the lease if it holds it. ctx bounds
+// BeginStop begins a planned stop: the node reports that it is stopping and releases the lease if it holds it. ctx bounds
 // the release.
-func (c *Controller) Stop(ctx context.Context) {
+func (c *Controller) BeginStop(ctx context.Context) {
 	c.stopping.Store(true)
 	c.inbox.Send(ctx, stop{ctx})
 }
--- a/internal/placer/feeding.go
+++ b/internal/placer/feeding.go
@@ -65,7 +65,7 @@
 // hashFraction maps this node to a fixed, evenly distributed number in [0, 1), by which nodes spread their reads of
 // the store over time.
 func (c *Controller) hashFraction() float64 {
-	return float64(xxhash.Sum64String(c.o.Self.Life)>>11) / (1 << 53)
+	return float64(xxhash.Sum64String(c.o.Self.Incarnation)>>11) / (1 << 53)
 }
 
 // applyFeedPlan puts a feed plan in force; feeders is nil for a plan without feeders.
@@ -110,7 +110,7 @@
 // sourceOf returns the node to ask for snapshots: the first of this node's feeders that avoid, by address and end
 // time, does not exclude, otherwise the lease holder h.
 func (c *Controller) sourceOf(h lease.Record, avoid map[string]time.Time, now time.Time) source {
-	choices := feedtree.Choices(c.feeding.plan(), c.o.Self.Holder, c.o.Hall)
+	choices := feedtree.Candidates(c.feeding.plan(), c.o.Self.Holder, c.o.Hall)
 	for _, f := range choices {
 		if f.Address != h.Address && now.After(avoid[f.Address]) {
 			return source{address: f.Address, feeder: true}
@@ -120,9 +120,9 @@
 }
 
 // shouldReadStore reports whether this node should read the store itself: it holds the lease, or has received no
-// relayed state for longer than its share of feedtree.Patience, which spreads the reads of a large fleet over time.
+// relayed state for longer than its share of feedtree.ReadDelay, which spreads the reads of a large fleet over time.
 func (c *Controller) shouldReadStore() bool {
-	return c.leading.Load() || c.timeSinceRelay() >= feedtree.Patience(int(c.feeding.nodes.Load()), c.hashFraction())
+	return c.leading.Load() || c.timeSinceRelay() >= feedtree.ReadDelay(int(c.feeding.nodes.Load()), c.hashFraction())
 }
 
 // shouldReadLease reports whether this node should read the lease topic itself. In a large fleet a node that has lost
@@ -173,7 +173,7 @@
 }
 
 // admit decides on a question to the lease holder and records the requester.
-func (p *publication) admit(q *peer.Question, now time.Time) admission {
+func (p *publication) admit(q *peer.WatchRequest, now time.Time) admission {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requesters[q.Node] = requester{feedtree.Node{Name: q.Node, Address: q.Address, Hall: q.Hall, Strength: q.Strength}, now, q.Orphan}
@@ -233,7 +233,7 @@
 	p.planned = true
 	// A redirected node derives from this count how long it waits before it reads the store.
 	p.nodes = max(p.nodes, nodes)
-	if !feedtree.SamePlan(p.feeders, feeders) {
+	if !feedtree.EqualPlans(p.feeders, feeders) {
 		p.wakeAll()
 		p.feeders, p.feedersVersion = feeders, p.version
 		return
@@ -271,7 +271,7 @@
 }
 
 // awaitPlan keeps a question to the lease holder open until it can be decided or q.Wait is over.
-func (c *Controller) awaitPlan(ctx context.Context, w *watcher, q *peer.Question) (admission, error) {
+func (c *Controller) awaitPlan(ctx context.Context, w *watcher, q *peer.WatchRequest) (admission, error) {
 	timeout := c.o.Clock.After(q.Wait)
 	for {
 		a := c.published.admit(q, c.o.Clock.Now())
@@ -297,7 +297,7 @@
 		return
 	}
 	asOf := now.Add(-m.transit - time.Duration(s.AgeMs)*time.Millisecond)
-	if !c.relay.mirrors(s.Life) || s.Whole {
+	if !c.relay.mirrors(s.Term) || s.Full {
 		c.relay.mirrorAll(s, c.holderState.serving, c.directory.Records(now), c.listedTo)
 	} else {
 		c.relay.mirror(s)
--- a/internal/placer/feeding_test.go
+++ b/internal/placer/feeding_test.go
@@ -22,10 +22,10 @@
 
 // fleetQuestions returns one question of each node of a fleet in five data halls; every twentieth node per hall is
 // strong.
-func fleetQuestions(nodes int) []peer.Question {
-	var out []peer.Question
+func fleetQuestions(nodes int) []peer.WatchRequest {
+	var out []peer.WatchRequest
 	for i := range nodes {
-		q := peer.Question{Node: fmt.Sprintf("n%04d", i), Address: fmt.Sprintf("n%04d:1", i), Hall: string(rune('a' + i%5)), Strength: 4}
+		q := peer.WatchRequest{Node: fmt.Sprintf("n%04d", i), Address: fmt.Sprintf("n%04d:1", i), Hall: string(rune('a' + i%5)), Strength: 4}
 		if i%20 == i%5 {
 			q.Strength = 1600
 		}
@@ -89,7 +89,7 @@
 	clock := clockwork.NewFakeClock()
 	c := newController(clock)
 	c.o.Hall = "h"
-	holder := lease.Record{Holder: "z", Life: "z-1", Address: "z:1"}
+	holder := lease.Record{Holder: "z", Incarnation: "z-1", Address: "z:1"}
 	avoid := make(map[string]time.Time)
 	ask := func() source { return c.sourceOf(holder, avoid, clock.Now()) }
 	if diff := cmp.Diff(source{address: "z:1"}, ask(), cmp.AllowUnexported(source{})); diff != "" {
@@ -162,33 +162,33 @@
 
 // fetch has f ask a publication. The answer takes a time to arrive, or is lost.
 func (s *feedSite) fetch(f *feedFollower, from *publication, way time.Duration, lost bool) {
-	snap, _, ok := from.snapshot(peer.Question{Node: "f", Life: f.incarnation, Version: f.version}, s.now)
+	snap, _, ok := from.snapshot(peer.WatchRequest{Node: "f", Life: f.incarnation, Version: f.version}, s.now)
 	s.now = s.now.Add(way)
 	if !ok || lost {
 		return
 	}
-	if snap.Whole {
+	if snap.Full {
 		f.serving = make(map[string][]string)
-		f.list.Replace(snap.Instances, snap.ListedTo, s.now, func(directory.Record, directory.Change) {})
+		f.list.Replace(snap.Instances, snap.DirectoryVersion, s.now, func(directory.Record, directory.Change) {})
 	}
 	for id, pools := range snap.Serving {
 		f.serving[id] = pools
 	}
-	for _, id := range snap.Gone {
+	for _, id := range snap.Removed {
 		delete(f.serving, id)
 	}
 	for _, r := range snap.Instances {
 		f.list.Apply(r, s.now)
 	}
-	f.holderSeenAt = s.now.Add(-way - time.Duration(snap.HolderMs)*time.Millisecond)
+	f.holderSeenAt = s.now.Add(-way - time.Duration(snap.HolderAgeMs)*time.Millisecond)
 	f.asOf = s.now.Add(-way - time.Duration(snap.AgeMs)*time.Millisecond)
-	if !f.relay.mirrors(snap.Life) || snap.Whole {
-		f.relay.mirrorAll(snap, f.serving, f.list.Records(s.now), snap.ListedTo)
+	if !f.relay.mirrors(snap.Term) || snap.Full {
+		f.relay.mirrorAll(snap, f.serving, f.list.Records(s.now), snap.DirectoryVersion)
 	} else {
 		f.relay.mirror(snap)
 	}
 	f.relay.mirrorCommon(snap, nil, nil, f.asOf, f.holderSeenAt)
-	f.incarnation, f.version = snap.Life, snap.Version
+	f.incarnation, f.version = snap.Term, snap.Version
 }
 
 // change adds, changes or removes a random endpoint at the lease holder.
@@ -293,7 +293,7 @@
 	clock := clockwork.NewFakeClock()
 	nodes := make([]*Controller, 984)
 	for i := range nodes {
-		nodes[i] = New(Options{Self: lease.Record{Holder: fmt.Sprint("n", i), Life: fmt.Sprint("n", i, "-1")}, Clock: clock, Logger: newController(clock).o.Logger, Dispatcher: newController(clock).o.Dispatcher, Bound: 5 * time.Second})
+		nodes[i] = New(Options{Self: lease.Record{Holder: fmt.Sprint("n", i), Incarnation: fmt.Sprint("n", i, "-1")}, Clock: clock, Logger: newController(clock).o.Logger, Dispatcher: newController(clock).o.Dispatcher, Bound: 5 * time.Second})
 		nodes[i].feeding.nodes.Store(984)
 		nodes[i].relayed.Store(&relayMark{at: clock.Now()})
 	}
@@ -333,8 +333,8 @@
 		t.Fatal(err)
 	}
 	s.fetch(f, &s.holder, 0, false)
-	f.relay.mirrorCommon(&peer.Snapshot{Life: f.incarnation, Version: f.version}, table, &peer.Evacuations{Halls: []string{"a"}, AsOf: 3}, s.now, s.now)
-	snap, _, _ := f.relay.snapshot(peer.Question{Node: "n", Config: 8}, s.now)
+	f.relay.mirrorCommon(&peer.Snapshot{Term: f.incarnation, Version: f.version}, table, &peer.Evacuations{Halls: []string{"a"}, AsOf: 3}, s.now, s.now)
+	snap, _, _ := f.relay.snapshot(peer.WatchRequest{Node: "n", Config: 8}, s.now)
 	if snap.Config == nil || snap.Config.Version != 9 || snap.Evacuations == nil || !slices.Equal(snap.Evacuations.Halls, []string{"a"}) {
 		t.Errorf("configuration %v, evacuations %v", snap.Config, snap.Evacuations)
 	}
@@ -349,7 +349,7 @@
 	}{{9, true}, {feedtree.FanOut, true}, {984, false}} {
 		clock := clockwork.NewFakeClock()
 		c := newController(clock)
-		raw, err := json.Marshal(lease.Record{Holder: "z", Life: "z-1", Address: "z:1", Members: tt.members})
+		raw, err := json.Marshal(lease.Record{Holder: "z", Incarnation: "z-1", Address: "z:1", Members: tt.members})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/placer/followers.go
+++ b/internal/placer/followers.go
@@ -16,8 +16,8 @@
 		return peer.ErrNotHolder
 	}
 	c.published.setInterest(r.Node, r.Use)
-	c.quotas.noteReport(r.Node, r.Alone, c.o.Clock.Now())
-	if c.suspects.guard.Merge(peer.Entries(r.Suspects, c.o.Clock.Now()), r.Node) {
+	c.quotas.noteReport(r.Node, r.Partitioned, c.o.Clock.Now())
+	if c.suspects.guard.Merge(peer.DecodeSuspects(r.Suspects, c.o.Clock.Now()), r.Node) {
 		c.publishSuspects()
 	}
 	if c.mergeSignals(r.Signals, r.Node, c.o.Clock.Now()) {
@@ -40,25 +40,25 @@
 		return
 	}
 	now := c.o.Clock.Now()
-	c.nodes[m.r.Node] = follower{reportedAt: now, strength: m.r.Strength, storeUnavailable: m.r.StoreAway, address: m.r.Address, hall: m.r.Hall}
-	c.outage.Heard(m.r.Node, lease.Word{At: now, StoreAway: m.r.StoreAway, Stopping: m.r.Stopping})
-	uses := make([]placement.Use, 0, len(m.r.Use))
+	c.nodes[m.r.Node] = follower{reportedAt: now, strength: m.r.Strength, storeUnavailable: m.r.StoreUnreachable, address: m.r.Address, hall: m.r.Hall}
+	c.outage.ReportReceived(m.r.Node, lease.Report{At: now, StoreAway: m.r.StoreUnreachable, Stopping: m.r.Stopping})
+	uses := make([]placement.Usage, 0, len(m.r.Use))
 	for _, w := range m.r.Use {
 		unit, ok := placement.ParsePool(w.Pool)
 		if !ok {
 			c.o.Logger.Warn("reported use of an unknown pool skipped", "node", m.r.Node, "pool", w.Pool)
 			continue
 		}
-		u := placement.Use{Unit: unit, Waiting: w.Waiting, Arrivals: w.Arrivals, SentAway: w.SentAway, Objective: time.Duration(w.ObjectiveMs) * time.Millisecond, RunningAt: w.RunningAt}
+		u := placement.Usage{Unit: unit, Waiting: w.Waiting, Arrivals: w.Arrivals, Deferred: w.SentAway, Objective: time.Duration(w.ObjectiveMs) * time.Millisecond, RunningAt: w.RunningAt}
 		if w.Waiting > 0 {
-			u.Urgent = now.Add(time.Duration(w.UrgentInMs) * time.Millisecond)
-			u.Last = now.Add(time.Duration(w.LastInMs) * time.Millisecond)
+			u.NextDue = now.Add(time.Duration(w.UrgentInMs) * time.Millisecond)
+			u.LastDue = now.Add(time.Duration(w.LastInMs) * time.Millisecond)
 		}
 		uses = append(uses, u)
 	}
-	c.planner.Use(m.r.Node, uses, now)
+	c.planner.RecordUsage(m.r.Node, uses, now)
 	for _, miss := range m.r.Misses {
-		c.planner.Missing(miss.Engine, now)
+		c.planner.HandleMissing(miss.Engine, now)
 	}
 }
 
--- a/internal/placer/fullsnapshot.go
+++ b/internal/placer/fullsnapshot.go
@@ -42,6 +42,6 @@
 
 // fill copies the full snapshot into s. The large parts are shared, not copied.
 func (f *fullSnapshot) fill(s *peer.Snapshot) {
-	s.Version, s.ListedTo = f.version, f.listedTo
+	s.Version, s.DirectoryVersion = f.version, f.listedTo
 	s.Serving, s.Instances, s.Shared = f.shared.Serving, f.shared.Instances, f.shared
 }
--- a/internal/placer/fullsnapshot_test.go
+++ b/internal/placer/fullsnapshot_test.go
@@ -22,12 +22,12 @@
 	p.begin("a-1", 5, 1, []directory.Record{record("e", 3)}, 9)
 	p.instancesRead(now)
 	p.configRead(now)
-	first, _, _ := p.snapshot(peer.Question{Node: "n"}, now)
+	first, _, _ := p.snapshot(peer.WatchRequest{Node: "n"}, now)
 	p.publishInstances([]directory.Record{record("e", 3), record("f", 10)}, 11)
 	now = now.Add(fullSnapshotTTL)
 	p.instancesRead(now)
 	p.configRead(now)
-	second, _, _ := p.snapshot(peer.Question{Node: "m"}, now)
+	second, _, _ := p.snapshot(peer.WatchRequest{Node: "m"}, now)
 	if first.Shared != second.Shared {
 		t.Error("two nodes received separately encoded parts")
 	}
@@ -36,10 +36,10 @@
 		ListedTo  uint64
 		AgeMs     int64
 	}
-	fieldsOf := func(s *peer.Snapshot) fields { return fields{s.Instances, s.ListedTo, s.AgeMs} }
-	next, _, _ := p.snapshot(peer.Question{Node: "m", Life: "a-1", Version: second.Version}, now)
-	later, _, _ := p.snapshot(peer.Question{Node: "o"}, now.Add(time.Millisecond))
-	got := []fields{fieldsOf(second), fieldsOf(next), {ListedTo: later.ListedTo}}
+	fieldsOf := func(s *peer.Snapshot) fields { return fields{s.Instances, s.DirectoryVersion, s.AgeMs} }
+	next, _, _ := p.snapshot(peer.WatchRequest{Node: "m", Life: "a-1", Version: second.Version}, now)
+	later, _, _ := p.snapshot(peer.WatchRequest{Node: "o"}, now.Add(time.Millisecond))
+	got := []fields{fieldsOf(second), fieldsOf(next), {ListedTo: later.DirectoryVersion}}
 	want := []fields{{[]directory.Record{record("e", 3)}, 9, fullSnapshotTTL.Milliseconds()}, {[]directory.Record{record("f", 10)}, 11, 0}, {ListedTo: 11}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("cached full snapshot, delta, new full snapshot (-want +got):\n%s", diff)
--- a/internal/placer/halls.go
+++ b/internal/placer/halls.go
@@ -47,7 +47,7 @@
 				c.halls.evacuated.Apply(ev.Hall, ev.On, r.Offset+1)
 			}
 		}
-		c.halls.evacuated.ReadTo(page.Next)
+		c.halls.evacuated.CompleteTo(page.Next)
 	}
 	c.applyEvacuations(before, "store")
 }
--- a/internal/placer/halls_test.go
+++ b/internal/placer/halls_test.go
@@ -114,16 +114,16 @@
 	h, n := newHallController(t, clock), newHallController(t, clock)
 	h.held = true
 	h.published.begin("h-1", 1, 2, nil, 0)
-	ask := func(q peer.Question) (urgent bool) {
+	ask := func(q peer.WatchRequest) (urgent bool) {
 		s, urgent, _ := h.published.snapshot(q, clock.Now())
 		n.applyHolderEvacuations(s.Evacuations)
 		return urgent
 	}
 	configPage{operatorPage(0, 5, logstore.Evacuation{Hall: "a", On: true}), false, clock.Now()}.handle(h)
-	ask(peer.Question{Node: "n"})
+	ask(peer.WatchRequest{Node: "n"})
 	var got [][]string
 	got = append(got, n.halls.evacuated.Halls())
-	q := peer.Question{Node: "n", Life: "h-1", Version: h.published.version}
+	q := peer.WatchRequest{Node: "n", Life: "h-1", Version: h.published.version}
 	if ask(q) {
 		t.Error("a question without any change is urgent")
 	}
@@ -179,7 +179,7 @@
 	clock := clockwork.NewFakeClock()
 	c := newHallController(t, clock)
 	c.publish(clock.Now())
-	c.directory.StoreAway(clock.Now())
+	c.directory.StoreUnreachable(clock.Now())
 	c.directory.Apply(directory.Record{ID: "e-1", Version: 2}, clock.Now())
 	c.touch("e-1")
 	c.publish(clock.Now())
--- a/internal/placer/handover.go
+++ b/internal/placer/handover.go
@@ -44,7 +44,7 @@
 	switch {
 	case !held || !c.held || c.paused || c.handingOver || c.stopping.Load():
 		return false
-	case now.Sub(c.heldSince) < handoverAfter || c.lease.Appending() || c.outage.Doubts(c.lease, now):
+	case now.Sub(c.heldSince) < handoverAfter || c.lease.Appending() || c.outage.SuspectsStore(c.lease, now):
 		return false
 	}
 	f, known := c.nodes[c.successor(now)]
@@ -75,8 +75,8 @@
 		c.leaseUncertain.Store(true)
 		return
 	}
-	c.lease.Fold(m.offset, m.rec, now)
+	c.lease.Apply(m.offset, m.rec, now)
 	// Otherwise this node, the first to know that the lease is free, would take it again.
-	c.lease.Succession(false, c.o.TakeoverDelay+handoverDelay)
+	c.lease.SetSuccession(false, c.o.TakeoverDelay+handoverDelay)
 	c.leaseUncertain.Store(true)
 }
--- a/internal/placer/holderstate.go
+++ b/internal/placer/holderstate.go
@@ -59,7 +59,7 @@
 	w := watchState{avoid: make(map[string]time.Time), connected: true}
 	for ctx.Err() == nil {
 		h := c.holderState.target()
-		if h.Holder == "" || h.Life == c.o.Self.Life {
+		if h.Holder == "" || h.Incarnation == c.o.Self.Incarnation {
 			c.pause(ctx, tickEvery)
 			c.askPeerForHolder(ctx)
 			continue
@@ -84,12 +84,12 @@
 }
 
 // question returns the next question to a source, which is a long poll for a snapshot.
-func (w *watchState) question(c *Controller, from source) peer.Question {
+func (w *watchState) question(c *Controller, from source) peer.WatchRequest {
 	if from.address != w.address {
 		// suspectsTo and signalsTo are versions of the node that answered, and mean nothing to another one.
 		w.address, w.suspectsTo, w.signalsTo = from.address, 0, 0
 	}
-	q := peer.Question{
+	q := peer.WatchRequest{
 		Node: c.o.Self.Holder, Life: w.incarnation, Version: w.version, SuspectsTo: w.suspectsTo, SignalsTo: w.signalsTo, Wait: c.timing.watchWait,
 		Address: c.o.Self.Address, Hall: c.o.Hall, Strength: c.o.Strength, Feeder: from.feeder, Orphan: from.noFeeder,
 	}
@@ -135,13 +135,13 @@
 		c.o.Logger.Info("lease holder regained", "holder", h.Holder, "fence", s.Fence)
 	}
 	w.connected = true
-	w.incarnation, w.version, w.suspectsTo, w.signalsTo, w.fence = s.Life, s.Version, s.SuspectsTo, s.SignalsTo, s.Fence
+	w.incarnation, w.version, w.suspectsTo, w.signalsTo, w.fence = s.Term, s.Version, s.SuspectsTo, s.SignalsTo, s.Fence
 	took := now.Sub(asked)
 	c.o.Logger.Trace("heard", "version", s.Version, "tookMs", took.Milliseconds())
 	// The duration of the call minus the time that the question was held is the round trip. How much of it was the
 	// way back is unknown, so that all of it counts towards the snapshot's age.
 	transit := max(0, took-time.Duration(s.HeldMs)*time.Millisecond)
-	if from.feeder && time.Duration(s.HolderMs)*time.Millisecond+transit > c.timing.watchWait+holderTTL/2 {
+	if from.feeder && time.Duration(s.HolderAgeMs)*time.Millisecond+transit > c.timing.watchWait+holderTTL/2 {
 		// The feeder is slow or has lost the lease holder; another one may have newer state.
 		w.avoid[from.address] = now.Add(avoidFor)
 	}
@@ -182,24 +182,24 @@
 
 func (m snapshotReceived) handle(c *Controller) {
 	r, s, now := &c.holderState, m.s, c.o.Clock.Now()
-	if s.Life != r.incarnation || s.Whole {
-		r.incarnation, r.serving, r.takers = s.Life, make(map[string][]string, len(s.Serving)), nil
+	if s.Term != r.incarnation || s.Full {
+		r.incarnation, r.serving, r.takers = s.Term, make(map[string][]string, len(s.Serving)), nil
 		c.touchAll()
 	}
 	if !r.fresh {
 		c.touchAll()
 	}
 	c.viewStale = c.viewStale || s.Version != r.version
-	r.version, r.seenAt = s.Version, now.Add(-time.Duration(s.HolderMs)*time.Millisecond)
+	r.version, r.seenAt = s.Version, now.Add(-time.Duration(s.HolderAgeMs)*time.Millisecond)
 	seenAt := r.seenAt
 	c.holderSeenAt.Store(&seenAt)
 	r.fresh = now.Sub(r.seenAt) <= holderTTL
-	c.holderLostStore.Store(s.StoreDoubt)
+	c.holderLostStore.Store(s.StoreUnconfirmed)
 	for engine, pools := range s.Serving {
 		r.serving[engine] = c.names.pools(pools)
 		c.touch(engine)
 	}
-	for _, engine := range s.Gone {
+	for _, engine := range s.Removed {
 		delete(r.serving, engine)
 		c.touch(engine)
 	}
@@ -262,7 +262,7 @@
 		}
 		s.Lease.Nodes = c.holderState.takers
 		before, _ := c.lease.Holder()
-		c.lease.Fold(s.LeaseOffset, s.Lease, now)
+		c.lease.Apply(s.LeaseOffset, s.Lease, now)
 		c.watchNewHolder(before, "feed")
 	}
 	// configUsable is false if a configuration newer than the one in force is known but cannot be used.
@@ -277,7 +277,7 @@
 	}
 	c.applyHolderEvacuations(s.Evacuations)
 	changed := false
-	if s.Whole && !c.listed {
+	if s.Full && !c.listed {
 		// The lease holder has read the list; a node that cannot read the store itself may rely on it.
 		c.listed, changed = true, true
 	}
@@ -286,9 +286,9 @@
 		s.Instances[i].Relayed = true
 		c.names.record(&s.Instances[i])
 	}
-	if s.Whole {
+	if s.Full {
 		// The first snapshot of an incarnation contains the full list: endpoints that are not in it are gone.
-		c.directory.Replace(s.Instances, s.ListedTo, now, changes.add)
+		c.directory.Replace(s.Instances, s.DirectoryVersion, now, changes.add)
 	} else {
 		for _, r := range s.Instances {
 			if change := c.directory.Apply(r, now); change != directory.Unchanged {
@@ -296,7 +296,7 @@
 			}
 		}
 	}
-	c.listedTo = max(c.listedTo, s.ListedTo)
+	c.listedTo = max(c.listedTo, s.DirectoryVersion)
 	c.applyListChanges(changes)
 	if changed || len(changes.changes) > 0 {
 		c.listChanged(now)
@@ -320,7 +320,7 @@
 	}
 	c.nodeCount = n
 	c.feeding.nodes.Store(int64(n))
-	c.allowance.Heard(n, now)
+	c.allowance.ObserveNodes(n, now)
 	c.memberCount.Store(int64(c.allowance.Nodes(now)))
 	c.limitRetries(now)
 }
@@ -336,8 +336,8 @@
 	c.o.Logger.Info("retry limits in force", "reserve", l.Reserve, "share", l.Share, "nodes", c.allowance.Nodes(now), "nodesTold", c.nodeCount)
 }
 
-// WakeDemand requests that this node's demand be reported at once. It may be called from any goroutine.
-func (c *Controller) WakeDemand() {
+// RequestReport requests that this node's demand be reported at once. It may be called from any goroutine.
+func (c *Controller) RequestReport() {
 	// If the inbox is full, the owner reports at a later tick.
 	c.inbox.Offer(reportNow{})
 }
@@ -346,9 +346,9 @@
 
 func (reportNow) handle(c *Controller) { c.dirty = true }
 
-// EndpointLeaving records that an endpoint refused work because it is draining, or because its address now belongs to
+// EndpointDraining records that an endpoint refused work because it is draining, or because its address now belongs to
 // another endpoint.
-func (c *Controller) EndpointLeaving(id string) {
+func (c *Controller) EndpointDraining(id string) {
 	c.inbox.Send(context.Background(), endpointDraining{id})
 }
 
@@ -362,8 +362,8 @@
 	}
 }
 
-// EngineLacks records that an engine refused a request because it does not hold the pool's unit.
-func (c *Controller) EngineLacks(engine, pool string) {
+// UnitMissing records that an engine refused a request because it does not hold the pool's unit.
+func (c *Controller) UnitMissing(engine, pool string) {
 	c.inbox.Send(context.Background(), unitMissing{engine, pool})
 }
 
@@ -376,7 +376,7 @@
 	c.touch(m.engine)
 	c.dirty = true
 	if c.held {
-		c.planner.Missing(m.engine, now)
+		c.planner.HandleMissing(m.engine, now)
 		return
 	}
 	c.unreportedMisses = append(c.unreportedMisses, peer.Miss{Engine: m.engine, Pool: m.pool})
@@ -390,28 +390,28 @@
 	}
 	if c.held {
 		c.dirty, c.reportedAt = false, now
-		c.planner.Use(c.o.Self.Holder, c.uses(now), now)
+		c.planner.RecordUsage(c.o.Self.Holder, c.uses(now), now)
 		return
 	}
 	h := c.holderState.target()
-	if h.Holder == "" || h.Life == c.o.Self.Life {
+	if h.Holder == "" || h.Incarnation == c.o.Self.Incarnation {
 		return
 	}
 	c.dirty, c.reportedAt, c.reporting = false, now, true
-	r := &peer.Report{Node: c.o.Self.Holder, Address: c.o.Self.Address, Hall: c.o.Hall, Strength: c.o.Strength, StoreAway: c.storeUnavailable(now), Stopping: c.stopping.Load(), Alone: c.quotas.partitioned(), Use: c.wireUses(now), Misses: c.unreportedMisses}
+	r := &peer.Report{Node: c.o.Self.Holder, Address: c.o.Self.Address, Hall: c.o.Hall, Strength: c.o.Strength, StoreUnreachable: c.storeUnavailable(now), Stopping: c.stopping.Load(), Partitioned: c.quotas.partitioned(), Use: c.wireUses(now), Misses: c.unreportedMisses}
 	c.unreportedMisses = nil
-	to := c.reportSuspects(r, h.Life, now)
-	signalsTo := c.reportSignals(r, h.Life, now)
+	to := c.reportSuspects(r, h.Incarnation, now)
+	signalsTo := c.reportSignals(r, h.Incarnation, now)
 	go func() {
 		err := c.o.Peers.Report(ctx, h.Address, r)
-		c.inbox.Send(ctx, reportSent{h.Life, to, signalsTo, err})
+		c.inbox.Send(ctx, reportSent{h.Incarnation, to, signalsTo, err})
 	}()
 }
 
 // storeUnavailable reports whether the last read of the lease topic has just failed and no append of this node is
 // under way, which might give it the lease.
 func (c *Controller) storeUnavailable(now time.Time) bool {
-	return !c.leaseReadFailedAt.IsZero() && !c.lease.Trying() && now.Sub(c.leaseReadFailedAt) <= lease.VouchFresh
+	return !c.leaseReadFailedAt.IsZero() && !c.lease.TakeoverPending() && now.Sub(c.leaseReadFailedAt) <= lease.ReportFresh
 }
 
 // reportMark holds the versions up to which one lease holder has received this node's reports.
@@ -448,36 +448,36 @@
 }
 
 // uses returns this node's use of each unit. The regions of a pool are added up.
-func (c *Controller) uses(now time.Time) []placement.Use {
-	var out []placement.Use
+func (c *Controller) uses(now time.Time) []placement.Usage {
+	var out []placement.Usage
 	for _, u := range c.o.Dispatcher.Usage() {
 		pool, _ := region.SplitPool(u.Pool)
 		unit, ok := placement.ParsePool(pool)
 		if !ok {
 			continue
 		}
-		out = addUse(out, placement.Use{Unit: unit, Waiting: u.Waiting, Arrivals: u.Arrivals, SentAway: u.SentAway, Objective: u.Objective, Urgent: u.Urgent, Last: u.Last, RunningAt: u.RunningAt})
+		out = addUse(out, placement.Usage{Unit: unit, Waiting: u.Waiting, Arrivals: u.Arrivals, Deferred: u.SentAway, Objective: u.Objective, NextDue: u.Urgent, LastDue: u.Last, RunningAt: u.RunningAt})
 	}
 	return out
 }
 
 // addUse adds u to the use of its unit, since several regions of a pool have the same unit. The earliest urgent time,
 // the latest last time and the smallest objective apply to the sum.
-func addUse(uses []placement.Use, u placement.Use) []placement.Use {
-	i := slices.IndexFunc(uses, func(o placement.Use) bool { return o.Unit == u.Unit })
+func addUse(uses []placement.Usage, u placement.Usage) []placement.Usage {
+	i := slices.IndexFunc(uses, func(o placement.Usage) bool { return o.Unit == u.Unit })
 	if i < 0 {
 		return append(uses, u)
 	}
 	o := &uses[i]
-	o.Waiting, o.Arrivals, o.SentAway = o.Waiting+u.Waiting, o.Arrivals+u.Arrivals, o.SentAway+u.SentAway
+	o.Waiting, o.Arrivals, o.Deferred = o.Waiting+u.Waiting, o.Arrivals+u.Arrivals, o.Deferred+u.Deferred
 	if o.Objective == 0 || u.Objective > 0 && u.Objective < o.Objective {
 		o.Objective = u.Objective
 	}
-	if o.Urgent.IsZero() || !u.Urgent.IsZero() && u.Urgent.Before(o.Urgent) {
-		o.Urgent = u.Urgent
+	if o.NextDue.IsZero() || !u.NextDue.IsZero() && u.NextDue.Before(o.NextDue) {
+		o.NextDue = u.NextDue
 	}
-	if u.Last.After(o.Last) {
-		o.Last = u.Last
+	if u.LastDue.After(o.LastDue) {
+		o.LastDue = u.LastDue
 	}
 	for endpoint, n := range u.RunningAt {
 		o.RunningAt[endpoint] += n
@@ -485,12 +485,12 @@
 	return uses
 }
 
-func (c *Controller) wireUses(now time.Time) []peer.Use {
-	var out []peer.Use
+func (c *Controller) wireUses(now time.Time) []peer.PoolUsage {
+	var out []peer.PoolUsage
 	for _, u := range c.uses(now) {
-		w := peer.Use{Pool: u.Unit.Pool(), Waiting: u.Waiting, Arrivals: u.Arrivals, SentAway: u.SentAway, ObjectiveMs: u.Objective.Milliseconds(), RunningAt: u.RunningAt}
-		if !u.Urgent.IsZero() {
-			w.UrgentInMs, w.LastInMs = u.Urgent.Sub(now).Milliseconds(), u.Last.Sub(now).Milliseconds()
+		w := peer.PoolUsage{Pool: u.Unit.Pool(), Waiting: u.Waiting, Arrivals: u.Arrivals, SentAway: u.Deferred, ObjectiveMs: u.Objective.Milliseconds(), RunningAt: u.RunningAt}
+		if !u.NextDue.IsZero() {
+			w.UrgentInMs, w.LastInMs = u.NextDue.Sub(now).Milliseconds(), u.LastDue.Sub(now).Milliseconds()
 		}
 		out = append(out, w)
 	}
--- a/internal/placer/isolation.go
+++ b/internal/placer/isolation.go
@@ -69,13 +69,13 @@
 
 // SuspectsChanged sends a change of the suspected requests to the other nodes. It may be called from any goroutine.
 func (c *Controller) SuspectsChanged() {
-	c.WakeDemand()
+	c.RequestReport()
 	c.publishSuspects()
 }
 
 // publishSuspects wakes the followers that wait for a snapshot if the suspected requests have changed.
 func (c *Controller) publishSuspects() {
-	c.published.setSuspects(c.suspects.guard.ToldVersion())
+	c.published.setSuspects(c.suspects.guard.SharedVersion())
 	c.relay.wakeFollowers()
 }
 
@@ -109,8 +109,8 @@
 // suspicions of all nodes, and a node without a lease holder may convict a request by its probability: a node that
 // knows of only some of the suspects of a crash would overrate each of them.
 func (c *Controller) evaluateSuspects() {
-	c.suspects.guard.SetWhole(c.held || !c.holderState.fresh)
-	c.suspects.guard.Judge()
+	c.suspects.guard.SetComplete(c.held || !c.holderState.fresh)
+	c.suspects.guard.Evaluate()
 }
 
 // markVerdictsKnown records that the stored verdicts are known, which the node needs to become ready.
@@ -123,35 +123,35 @@
 // updateGuard informs the guard of a change of an endpoint's entry.
 func (c *Controller) updateGuard(r directory.Record) {
 	if r.Instance == nil {
-		c.suspects.guard.Gone(r.ID)
+		c.suspects.guard.EngineRemoved(r.ID)
 		return
 	}
-	c.suspects.guard.Seen(quarantine.Life{Engine: r.ID, Start: int64(r.Instance.Start)}, r.Instance.Draining)
+	c.suspects.guard.EngineSeen(quarantine.Incarnation{Engine: r.ID, Start: int64(r.Instance.Start)}, r.Instance.Draining)
 }
 
 // reportSuspects adds the entries that the lease holder lacks to a report, and returns the version that they reach.
 // incarnation is the lease holder's.
 func (c *Controller) reportSuspects(r *peer.Report, incarnation string, now time.Time) uint64 {
-	entries, to := c.suspects.guard.Since(c.reportAcked.of(incarnation).suspects, quarantine.Own)
-	r.Suspects = peer.Suspects(entries, now)
+	entries, to := c.suspects.guard.Since(c.reportAcked.of(incarnation).suspects, quarantine.LocalRecords)
+	r.Suspects = peer.EncodeSuspects(entries, now)
 	return to
 }
 
 // addSuspects adds the entries that concern all nodes and are new to the requester, and reports whether there are
 // any.
-func (c *Controller) addSuspects(snap *peer.Snapshot, q peer.Question, now time.Time) bool {
+func (c *Controller) addSuspects(snap *peer.Snapshot, q peer.WatchRequest, now time.Time) bool {
 	after := q.SuspectsTo
-	if snap.Whole {
+	if snap.Full {
 		after = 0
 	}
-	entries, to := c.suspects.guard.Since(after, quarantine.Concerning)
-	snap.Suspects, snap.SuspectsTo, snap.VerdictsKnown = peer.Suspects(entries, now), to, c.suspects.known.Load()
+	entries, to := c.suspects.guard.Since(after, quarantine.SharedRecords)
+	snap.Suspects, snap.SuspectsTo, snap.VerdictsKnown = peer.EncodeSuspects(entries, now), to, c.suspects.known.Load()
 	return len(entries) > 0
 }
 
 // mergeHolderSuspects merges the entries of a snapshot of the lease holder.
 func (c *Controller) mergeHolderSuspects(snap *peer.Snapshot, now time.Time) {
-	c.suspects.guard.Merge(peer.Entries(snap.Suspects, now), "holder")
+	c.suspects.guard.Merge(peer.DecodeSuspects(snap.Suspects, now), "holder")
 	c.notePeerData(now)
 	c.suspects.holderAt.Store(&now)
 	if snap.VerdictsKnown {
@@ -163,16 +163,16 @@
 // lacks.
 func (c *Controller) Exchange(e *peer.Exchange) *peer.Exchange {
 	now := c.o.Clock.Now()
-	if c.suspects.guard.Merge(peer.Entries(e.Suspects, now), e.Node) {
+	if c.suspects.guard.Merge(peer.DecodeSuspects(e.Suspects, now), e.Node) {
 		c.SuspectsChanged()
 	}
 	c.mergeSignals(e.Signals, e.Node, now)
 	since := e.Since
-	if e.Of != c.o.Self.Life {
+	if e.ReceiverIncarnation != c.o.Self.Incarnation {
 		since = 0
 	}
-	entries, to := c.suspects.guard.Since(since, quarantine.All)
-	return &peer.Exchange{Node: c.o.Self.Holder, Life: c.o.Self.Life, Version: to, Suspects: peer.Suspects(entries, now), Signals: c.allSignals(now)}
+	entries, to := c.suspects.guard.Since(since, quarantine.AllRecords)
+	return &peer.Exchange{Node: c.o.Self.Holder, Incarnation: c.o.Self.Incarnation, Version: to, Suspects: peer.EncodeSuspects(entries, now), Signals: c.allSignals(now)}
 }
 
 // exchangeMark holds the incarnation of another node and the versions that both have received from each other.
@@ -200,11 +200,11 @@
 }
 
 func (c *Controller) exchangeWith(ctx context.Context, address string, m exchangeMark) exchangeMark {
-	entries, to := c.suspects.guard.Since(m.sent, quarantine.All)
+	entries, to := c.suspects.guard.Since(m.sent, quarantine.AllRecords)
 	begun := c.o.Clock.Now()
 	request := &peer.Exchange{
-		Node: c.o.Self.Holder, Life: c.o.Self.Life, Since: m.received, Of: m.incarnation, Version: to,
-		Suspects: peer.Suspects(entries, begun), Signals: c.allSignals(begun),
+		Node: c.o.Self.Holder, Incarnation: c.o.Self.Incarnation, Since: m.received, ReceiverIncarnation: m.incarnation, Version: to,
+		Suspects: peer.EncodeSuspects(entries, begun), Signals: c.allSignals(begun),
 	}
 	reply, err := c.o.Peers.Exchange(ctx, address, request)
 	if err != nil {
@@ -213,13 +213,13 @@
 	}
 	now := c.o.Clock.Now()
 	c.notePeerData(now)
-	c.suspects.guard.Merge(peer.Entries(reply.Suspects, now), reply.Node)
+	c.suspects.guard.Merge(peer.DecodeSuspects(reply.Suspects, now), reply.Node)
 	c.mergeSignals(reply.Signals, reply.Node, now)
-	if reply.Life != m.incarnation && m.sent > 0 {
+	if reply.Incarnation != m.incarnation && m.sent > 0 {
 		// The other node has restarted and lacks what was sent to its previous incarnation; send everything again.
-		return exchangeMark{incarnation: reply.Life, received: reply.Version}
+		return exchangeMark{incarnation: reply.Incarnation, received: reply.Version}
 	}
-	return exchangeMark{incarnation: reply.Life, sent: to, received: reply.Version}
+	return exchangeMark{incarnation: reply.Incarnation, sent: to, received: reply.Version}
 }
 
 // verdictPage is a page of the stored verdicts.
@@ -249,11 +249,11 @@
 // storeVerdicts writes the verdicts that the store lacks, at the lease holder.
 func (c *Controller) storeVerdicts(ctx context.Context, now time.Time) {
 	s := &c.suspects
-	version := s.guard.ToldVersion()
+	version := s.guard.SharedVersion()
 	if !c.held || s.storing || version <= s.storedTo || now.Before(s.retryAt) || !s.known.Load() {
 		return
 	}
-	entries, to := s.guard.Since(s.storedTo, quarantine.Concerning)
+	entries, to := s.guard.Since(s.storedTo, quarantine.SharedRecords)
 	var due []logstore.Verdict
 	for i := range entries {
 		if v, ok := s.pendingVerdict(&entries[i], now); ok {
--- a/internal/placer/isolation_test.go
+++ b/internal/placer/isolation_test.go
@@ -51,7 +51,7 @@
 	d := directPeers{nodes: make(map[string]*Controller)}
 	for _, name := range names {
 		d.nodes[name] = New(Options{
-			Self: lease.Record{Holder: name, Life: name + "-1", Address: name}, Clock: clock, Logger: hclog.NewNullLogger(), Peers: d, Store: &verdictStore{},
+			Self: lease.Record{Holder: name, Incarnation: name + "-1", Address: name}, Clock: clock, Logger: hclog.NewNullLogger(), Peers: d, Store: &verdictStore{},
 			Dispatcher: traffic.New(clock, "h", queue.Limits{Items: 9, Bytes: 999}, traffic.Hooks{}),
 			Isolation:  isolation.New(isolation.Options{Clock: clock, Logger: hclog.NewNullLogger(), Refuses: func(context.Context, string) bool { return true }}),
 		})
@@ -67,7 +67,7 @@
 	now := c.o.Clock.Now()
 	e := quarantine.Entry{Request: f, At: now}
 	for i, engine := range engines {
-		e.Blames = append(e.Blames, quarantine.Blame{End: quarantine.EndID{Engine: engine}, Begun: true, Ran: time.Millisecond, At: now.Add(time.Duration(i) * time.Second)})
+		e.Suspicions = append(e.Suspicions, quarantine.Suspicion{End: quarantine.CrashID{Engine: engine}, Begun: true, Elapsed: time.Millisecond, At: now.Add(time.Duration(i) * time.Second)})
 	}
 	c.suspects.guard.Merge([]quarantine.Entry{e}, "test")
 }
@@ -82,16 +82,16 @@
 	addSuspicions(a, f, "e1")
 	addSuspicions(b, f, "e2")
 	m := a.exchangeWith(t.Context(), "b", exchangeMark{})
-	ends := func(c *Controller) int { return c.suspects.guard.List()[0].Ends }
+	ends := func(c *Controller) int { return c.suspects.guard.List()[0].Crashes }
 	if diff := cmp.Diff([]int{2, 2}, []int{ends(a), ends(b)}); diff != "" {
 		t.Errorf("ends known to a and b (-want +got):\n%s", diff)
 	}
 	m = a.exchangeWith(t.Context(), "b", m)
-	if entries, _ := a.suspects.guard.Since(m.sent, quarantine.All); len(entries) != 0 {
+	if entries, _ := a.suspects.guard.Since(m.sent, quarantine.AllRecords); len(entries) != 0 {
 		t.Errorf("%d entries would be sent again", len(entries))
 	}
 	d.nodes["b"] = newPeerControllers(clock, "b").nodes["b"]
-	d.nodes["b"].o.Self.Life = "b-2"
+	d.nodes["b"].o.Self.Incarnation = "b-2"
 	m = a.exchangeWith(t.Context(), "b", m)
 	a.exchangeWith(t.Context(), "b", m)
 	if diff := cmp.Diff(2, ends(d.nodes["b"])); diff != "" {
@@ -109,10 +109,10 @@
 	for _, engine := range []string{"e1", "e2", "e3"} {
 		// Crashes that this node has observed itself.
 		clock.Advance(time.Second)
-		n.suspects.guard.Seen(quarantine.Life{Engine: engine, Start: 1}, false)
+		n.suspects.guard.EngineSeen(quarantine.Incarnation{Engine: engine, Start: 1}, false)
 		run := n.suspects.guard.Send(f, endpointOf(engine))
 		run.Began()
-		run.Broke(t.Context())
+		run.ConnectionBroke(t.Context())
 	}
 	r := &peer.Report{Node: "n"}
 	n.reportSuspects(r, "h-1", clock.Now())
@@ -120,15 +120,15 @@
 	if err := h.Reported(r); err != nil {
 		t.Fatal(err)
 	}
-	s := &peer.Snapshot{Life: "h-1", Whole: true}
-	if !h.addSuspects(s, peer.Question{}, clock.Now()) {
+	s := &peer.Snapshot{Term: "h-1", Full: true}
+	if !h.addSuspects(s, peer.WatchRequest{}, clock.Now()) {
 		t.Error("nothing to send")
 	}
 	o.mergeHolderSuspects(s, clock.Now())
 	if got := o.suspects.guard.State(f); got != quarantine.Quarantined {
 		t.Errorf("state at another node = %v, want quarantined", got)
 	}
-	if h.addSuspects(&peer.Snapshot{Life: "h-1"}, peer.Question{SuspectsTo: s.SuspectsTo}, clock.Now()) {
+	if h.addSuspects(&peer.Snapshot{Term: "h-1"}, peer.WatchRequest{SuspectsTo: s.SuspectsTo}, clock.Now()) {
 		t.Error("what was sent is sent again")
 	}
 }
--- a/internal/placer/lookup.go
+++ b/internal/placer/lookup.go
@@ -77,7 +77,7 @@
 func (m leaseFromPeer) handle(c *Controller) {
 	before, _ := c.lease.Holder()
 	// As for a relayed record, its age is counted from now, which can only delay a takeover by this node.
-	c.lease.Fold(m.latest.Offset, m.latest.Record, c.o.Clock.Now())
+	c.lease.Apply(m.latest.Offset, m.latest.Record, c.o.Clock.Now())
 	c.watchNewHolder(before, m.by)
 }
 
--- a/internal/placer/memory_test.go
+++ b/internal/placer/memory_test.go
@@ -17,7 +17,7 @@
 // each.
 func fleetSnapshot(t testing.TB, endpoints, models int) []byte {
 	t.Helper()
-	s := peer.Snapshot{Life: "h-1/1", Fence: 1, Version: 1, Whole: true, Nodes: 984, Serving: make(map[string][]string)}
+	s := peer.Snapshot{Term: "h-1/1", Fence: 1, Version: 1, Full: true, Nodes: 984, Serving: make(map[string][]string)}
 	for i := range endpoints {
 		id := fmt.Sprintf("i-%010x", i*7919)
 		s.Instances = append(s.Instances, directory.Record{ID: id, Version: uint64(i + 1), Since: uint64(i + 1), Relayed: true, Instance: &directory.Instance{
--- a/internal/placer/mirror.go
+++ b/internal/placer/mirror.go
@@ -34,7 +34,7 @@
 func (p *publication) mirrorAll(s *peer.Snapshot, serving map[string][]string, records []directory.Record, listedTo uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.incarnation, p.version, p.deltasFrom, p.full = s.Life, s.Version, s.Version, nil
+	p.incarnation, p.version, p.deltasFrom, p.full = s.Term, s.Version, s.Version, nil
 	p.serving, p.removedAt = make(map[string]servingEntry, len(serving)), make(map[string]uint64)
 	for id, pools := range serving {
 		p.serving[id] = servingEntry{pools: pools, version: s.Version}
@@ -55,7 +55,7 @@
 		p.serving[id] = servingEntry{pools: pools, version: s.Version}
 		delete(p.removedAt, id)
 	}
-	for _, id := range s.Gone {
+	for _, id := range s.Removed {
 		delete(p.serving, id)
 		p.removedAt[id] = s.Version
 	}
@@ -63,7 +63,7 @@
 		p.store.instances[r.ID] = instanceEntry{r, s.Version}
 		urgent = true
 	}
-	p.store.listedTo = max(p.store.listedTo, s.ListedTo)
+	p.store.listedTo = max(p.store.listedTo, s.DirectoryVersion)
 	switch {
 	case urgent:
 		p.wakeWatchers()
@@ -77,7 +77,7 @@
 func (p *publication) mirrorCommon(s *peer.Snapshot, t *route.Table, evacuations *peer.Evacuations, asOf, seenAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fence, p.nodes, p.successor, p.holderLostStore, p.holderSeenAt = s.Fence, s.Nodes, s.Successor, s.StoreDoubt, seenAt
+	p.fence, p.nodes, p.successor, p.holderLostStore, p.holderSeenAt = s.Fence, s.Nodes, s.Successor, s.StoreUnconfirmed, seenAt
 	st := &p.store
 	st.lease, st.leaseOffset, st.configAt, st.instancesAt, st.evacuations = s.Lease, s.LeaseOffset, asOf, asOf, evacuations
 	if t != nil {
--- a/internal/placer/ordering.go
+++ b/internal/placer/ordering.go
@@ -66,7 +66,7 @@
 // recordStoreLoads stores how many loads from the weight store the planner allows at once, for metrics, and logs
 // changes.
 func (c *Controller) recordStoreLoads() {
-	n := int64(c.planner.StoreLoadsAtOnce())
+	n := int64(c.planner.StoreConcurrency())
 	if old := c.storeLoads.Swap(n); old != n {
 		c.o.Logger.Info("concurrent loads from the weight store changed", "atOnce", n, "before", old)
 	}
@@ -75,12 +75,12 @@
 // logRestarts logs the engines that restarted under the same id, and the models whose loads are in backoff because
 // engines crashed during them.
 func (c *Controller) logRestarts() {
-	for _, s := range c.planner.StartedAgain() {
+	for _, s := range c.planner.Restarts() {
 		c.engineRestarts.Add(1)
-		c.o.Logger.Info("engine restarted, its previous state is discarded", "engine", s.Engine, "born", int64(s.Start), "lateLoads", s.Late)
+		c.o.Logger.Info("engine restarted, its previous state is discarded", "engine", s.Engine, "born", int64(s.Start), "lateLoads", s.UnansweredLoads)
 	}
-	for _, r := range c.planner.Resting() {
-		c.o.Logger.Warn("loads of a model in backoff, engines crashed during them", "unit", r.Unit.Pool(), "enginesEnded", r.Ended, "restMs", r.Rest.Milliseconds())
+	for _, r := range c.planner.LoadBackoffs() {
+		c.o.Logger.Warn("loads of a model in backoff, engines crashed during them", "unit", r.Unit.Pool(), "enginesEnded", r.Crashes, "restMs", r.Backoff.Milliseconds())
 	}
 }
 
@@ -98,11 +98,11 @@
 	}
 	args := []any{
 		"engine", o.Engine, "unit", o.Unit.Pool(), "unload", o.Unload, "fence", o.Fence, "taken", o.Taken,
-		"fromStore", o.FromStore, "why", o.Why, "reply", reply.String(),
-		"rate", round(o.Facts.Rate), "waiting", o.Facts.Waiting, "running", o.Facts.Running, "peak", round(o.Facts.Peak),
-		"replicas", o.Facts.Replicas, "loss", round(o.Facts.Loss),
-		"phase", o.Books.Phase, "freeMb", round(o.Books.FreeMB), "models", o.Books.Models, "adapters", o.Books.Adapters,
-		"ageMs", o.Books.Age.Milliseconds(), "unconfirmed", o.Books.Unconfirmed,
+		"fromStore", o.FromStore, "why", o.Reason, "reply", reply.String(),
+		"rate", round(o.ModelStats.Rate), "waiting", o.ModelStats.Waiting, "running", o.ModelStats.Running, "peak", round(o.ModelStats.Peak),
+		"replicas", o.ModelStats.Replicas, "loss", round(o.ModelStats.Loss),
+		"phase", o.EngineStats.Phase, "freeMb", round(o.EngineStats.FreeMB), "models", o.EngineStats.Models, "adapters", o.EngineStats.Adapters,
+		"ageMs", o.EngineStats.ReportAge.Milliseconds(), "unconfirmed", o.EngineStats.Unconfirmed,
 	}
 	if err != nil {
 		args = append(args, "error", err.Error())
@@ -148,16 +148,16 @@
 	asked  time.Time
 }
 
-func (m orderDone) handle(c *Controller) { c.planner.Replied(m.order, m.reply, c.o.Clock.Now()) }
+func (m orderDone) handle(c *Controller) { c.planner.HandleReply(m.order, m.reply, c.o.Clock.Now()) }
 
 func (m probeDone) handle(c *Controller) {
 	now := c.o.Clock.Now()
 	if m.err != nil {
-		c.planner.ProbeFailed(m.engine, now)
+		c.planner.HandleProbeFailure(m.engine, now)
 		return
 	}
 	c.applyReportedSignals(m.engine, &m.report, m.asked)
 	c.o.Logger.Info("report", "engine", m.engine, "born", int64(m.report.Start), "taken", m.report.Taken, "busy", m.report.Busy, "running", m.report.Running,
-		"models", len(m.report.Models), "adapters", m.report.Adapters(), "coming", len(m.report.Coming), "askedMsAgo", now.Sub(m.asked).Milliseconds(), "onDisk", len(m.report.OnDisk), "warm", len(m.report.Warm))
-	c.planner.Reported(m.engine, &m.report, m.asked, now)
+		"models", len(m.report.Models), "adapters", m.report.Adapters(), "coming", len(m.report.LoadingAdapters), "askedMsAgo", now.Sub(m.asked).Milliseconds(), "onDisk", len(m.report.OnDisk), "warm", len(m.report.Warm))
+	c.planner.HandleReport(m.engine, &m.report, m.asked, now)
 }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -21,7 +21,7 @@
 // newController returns a controller that is not running.
 func newController(clock clockwork.Clock) *Controller {
 	return New(Options{
-		Self: lease.Record{Holder: "a", Life: "a-1"}, Clock: clock, Logger: hclog.NewNullLogger(),
+		Self: lease.Record{Holder: "a", Incarnation: "a-1"}, Clock: clock, Logger: hclog.NewNullLogger(),
 		Dispatcher: traffic.New(clock, "h", queue.Limits{Items: 9, Bytes: 999}, traffic.Hooks{}), TakeoverDelay: 100 * time.Millisecond,
 	})
 }
@@ -60,11 +60,11 @@
 	wants := func(successor string) time.Duration {
 		c := newController(clock)
 		now := clock.Now()
-		c.lease.Fold(0, lease.Record{Holder: "b", Life: "b-1"}, now)
+		c.lease.Apply(0, lease.Record{Holder: "b", Incarnation: "b-1"}, now)
 		c.setTakeoverDelay(successor)
 		for d := time.Duration(0); ; d += 10 * time.Millisecond {
 			c.lease.CaughtUp(1, now.Add(d))
-			if c.lease.Wants(now.Add(d)) {
+			if c.lease.ShouldAppend(now.Add(d)) {
 				return d
 			}
 		}
@@ -94,7 +94,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := newController(clock)
-			snapshotReceived{&peer.Snapshot{Life: "b-1", Version: 1, Feed: peer.Feed{AgeMs: tt.ageMs}}, tt.onTheWay, clock.Now()}.handle(c)
+			snapshotReceived{&peer.Snapshot{Term: "b-1", Version: 1, StoreState: peer.StoreState{AgeMs: tt.ageMs}}, tt.onTheWay, clock.Now()}.handle(c)
 			if got := c.relayFresh(); got != tt.want {
 				t.Errorf("relayFresh = %t, want %t", got, tt.want)
 			}
@@ -147,8 +147,8 @@
 	for i, id := range []string{"stays", "went", "new"} {
 		c.directory.Apply(directory.Record{ID: id, Version: []uint64{3, 4, 20}[i], Instance: instance(id)}, c.o.Clock.Now())
 	}
-	s := &peer.Snapshot{Life: "b-1", Version: 1, Whole: true, Feed: peer.Feed{
-		ListedTo: 10, Instances: []directory.Record{{ID: "stays", Version: 9, Instance: instance("stays"), Relayed: true}},
+	s := &peer.Snapshot{Term: "b-1", Version: 1, Full: true, StoreState: peer.StoreState{
+		DirectoryVersion: 10, Instances: []directory.Record{{ID: "stays", Version: 9, Instance: instance("stays"), Relayed: true}},
 	}}
 	snapshotReceived{s, 0, c.o.Clock.Now()}.handle(c)
 	if diff := cmp.Diff([]string{"new", "stays"}, live(c)); diff != "" {
@@ -163,12 +163,12 @@
 	var p publication
 	p.init()
 	p.begin("a-1", 5, 1, []directory.Record{{ID: "e", Version: 3, Instance: instance("e")}}, 9)
-	s, urgent, ok := p.snapshot(peer.Question{Node: "n"}, now)
-	if !ok || !urgent || len(s.Instances) != 1 || s.ListedTo != 9 {
+	s, urgent, ok := p.snapshot(peer.WatchRequest{Node: "n"}, now)
+	if !ok || !urgent || len(s.Instances) != 1 || s.DirectoryVersion != 9 {
 		t.Fatalf("first snapshot = %+v, %t, %t; want the endpoint, urgent", s, urgent, ok)
 	}
 	p.publishInstances(nil, 12)
-	s, urgent, _ = p.snapshot(peer.Question{Node: "n", Life: s.Life, Version: s.Version}, now)
+	s, urgent, _ = p.snapshot(peer.WatchRequest{Node: "n", Life: s.Term, Version: s.Version}, now)
 	want := []directory.Record{{ID: "e", Version: 12, Relayed: true}}
 	if diff := cmp.Diff(want, s.Instances); diff != "" || !urgent {
 		t.Errorf("urgent = %t; endpoints (-want +got):\n%s", urgent, diff)
@@ -213,7 +213,7 @@
 	if diff := cmp.Diff([]string{"10.0.0.1:80"}, got); diff != "" {
 		t.Errorf("endpoints (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(map[logstore.Reason]int{logstore.Unnamed: 1}, c.faults.all()); diff != "" {
+	if diff := cmp.Diff(map[logstore.Reason]int{logstore.Invalid: 1}, c.faults.all()); diff != "" {
 		t.Errorf("skipped records (-want +got):\n%s", diff)
 	}
 }
@@ -270,7 +270,7 @@
 	var got []bool
 	for _, cfg := range []*route.Config{nil, broken} {
 		clock.Advance(time.Minute)
-		s := &peer.Snapshot{Life: "b-1"}
+		s := &peer.Snapshot{Term: "b-1"}
 		s.Config = cfg
 		snapshotReceived{s: s, madeAt: clock.Now()}.handle(c)
 		got = append(got, c.relayFresh())
@@ -291,7 +291,7 @@
 	for _, end := range []uint64{4, 9} {
 		configPage{logstore.Page[logstore.Config]{Next: 4, End: end}, false, clock.Now()}.handle(c)
 		c.published.instancesRead(clock.Now())
-		s, _, _ := c.published.snapshot(peer.Question{}, clock.Now())
+		s, _, _ := c.published.snapshot(peer.WatchRequest{}, clock.Now())
 		got = append(got, s.AgeMs)
 		clock.Advance(time.Second)
 	}
--- a/internal/placer/publication.go
+++ b/internal/placer/publication.go
@@ -246,7 +246,7 @@
 }
 
 // setInterest records the pools for which a node's requests wait, so that their changes are sent to it at once.
-func (p *publication) setInterest(node string, uses []peer.Use) {
+func (p *publication) setInterest(node string, uses []peer.PoolUsage) {
 	pools := make(map[string]bool)
 	for _, u := range uses {
 		if u.Waiting > 0 {
--- a/internal/placer/publish.go
+++ b/internal/placer/publish.go
@@ -25,7 +25,7 @@
 func (c *Controller) publish(now time.Time) {
 	t := c.table.Load()
 	v := &view.View{Ready: t != nil && c.listed && c.suspects.known.Load(), ReadyAt: c.readyAt(now)}
-	if recorded := c.directory.TellStarts(); recorded != c.startsRecorded {
+	if recorded := c.directory.StartsPublished(); recorded != c.startsRecorded {
 		// This determines which entries count as endpoints, so that the view is built anew.
 		c.startsRecorded, c.rebuildAll = recorded, true
 	}
--- a/internal/placer/quota.go
+++ b/internal/placer/quota.go
@@ -29,7 +29,7 @@
 	mu sync.Mutex
 	// granter is set while this node holds the lease.
 	granter   *quota.Granter
-	allowance *quota.Purse
+	allowance *quota.Allowance
 	tolerance quota.Tolerance
 	probed    time.Time
 	probing   bool
@@ -50,7 +50,7 @@
 }
 
 func (q *quotas) init(incarnation string, tolerance quota.Tolerance) {
-	q.tolerance, q.allowance = tolerance, quota.NewPurse(incarnation, tolerance)
+	q.tolerance, q.allowance = tolerance, quota.NewAllowance(incarnation, tolerance)
 }
 
 // begin makes this node the granter. known is the number of nodes under the previous lease holder, as far as this
@@ -74,7 +74,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.granter != nil {
-		q.granter.Heard(node, partitioned, now)
+		q.granter.Observe(node, partitioned, now)
 	}
 }
 
@@ -82,7 +82,7 @@
 func (q *quotas) partitioned() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.allowance.Alone()
+	return q.allowance.Partitioned()
 }
 
 // members returns over how many nodes the limits are divided, as far as this node knows.
@@ -109,7 +109,7 @@
 
 // Credit implements [peer.Holder]: it grants an amount of a customer's or an endpoint's limit to another node. It
 // returns peer.ErrNotHolder if this node does not hold the lease.
-func (c *Controller) Credit(q *peer.CreditQuestion) (*peer.Credit, error) {
+func (c *Controller) Credit(q *peer.GrantRequest) (*peer.Grant, error) {
 	if err := q.Check(); err != nil {
 		return nil, err
 	}
@@ -120,17 +120,17 @@
 		return nil, peer.ErrNotHolder
 	}
 	// The node stops spending its own share when it receives this answer.
-	qs.granter.Heard(q.Node, false, now)
-	a := &peer.Credit{Members: qs.granter.Members(now)}
+	qs.granter.Observe(q.Node, false, now)
+	a := &peer.Grant{Nodes: qs.granter.Members(now)}
 	switch {
 	case q.Endpoint != "":
-		incarnation := signal.Life{Endpoint: q.Endpoint, Start: q.Born}
-		account, bound := endpointAccount(incarnation), quota.OfEndpoint(q.Limit, a.Members)
+		incarnation := signal.Incarnation{Endpoint: q.Endpoint, Start: q.Born}
+		account, bound := endpointAccount(incarnation), quota.EndpointBound(q.Limit, a.Nodes)
 		if q.Cold {
-			account, bound = coldAccount(incarnation), c.o.Cold.OfCold(q.Limit, a.Members)
+			account, bound = coldAccount(incarnation), c.o.ColdTolerance.Bound(q.Limit, a.Nodes)
 		}
-		answer := qs.granter.AskBound(account, bound, q.Need, q.Ahead, now)
-		a.Granted, a.AfterMs = answer.Granted, roundUp(answer.After)
+		answer := qs.granter.GrantBound(account, bound, q.Need, q.Prefetch, now)
+		a.Granted, a.AfterMs = answer.Granted, roundUp(answer.RetryAfter)
 		return a, nil
 	case q.Customer == "":
 		return a, nil
@@ -140,17 +140,17 @@
 		a.Unknown = true
 		return a, nil
 	}
-	answer := qs.granter.Ask(q.Customer, t.Customer(q.Customer).Limit, q.Need, q.Ahead, now)
-	a.Granted, a.AfterMs = answer.Granted, roundUp(answer.After)
+	answer := qs.granter.Grant(q.Customer, t.Customer(q.Customer).Limit, q.Need, q.Prefetch, now)
+	a.Granted, a.AfterMs = answer.Granted, roundUp(answer.RetryAfter)
 	return a, nil
 }
 
 // askForGrant asks the lease holder, which may be this node, and records in the allowance whether it answered. ok is
 // false if it did not.
-func (c *Controller) askForGrant(ctx context.Context, q *peer.CreditQuestion) (*peer.Credit, bool) {
+func (c *Controller) askForGrant(ctx context.Context, q *peer.GrantRequest) (*peer.Grant, bool) {
 	qs := &c.quotas
 	sent := c.o.Clock.Now()
-	a, err := askHolder(ctx, c, q, c.Credit, c.o.Peers.Credit)
+	a, err := askHolder(ctx, c, q, c.Credit, c.o.Peers.RequestGrant)
 	now := c.o.Clock.Now()
 	qs.mu.Lock()
 	defer qs.mu.Unlock()
@@ -159,16 +159,16 @@
 			// The caller cancelled the request, which says nothing about the lease holder.
 			return nil, false
 		}
-		if !qs.allowance.Alone() {
+		if !qs.allowance.Partitioned() {
 			c.o.Logger.Info("no answer on customers' limits, this node spends its own share", "holder", c.holderState.target().Holder, "error", err.Error())
 		}
-		qs.allowance.Lost(sent, now)
+		qs.allowance.Unanswered(sent, now)
 		return nil, false
 	}
-	if qs.allowance.Alone() {
-		c.o.Logger.Info("answers on customers' limits regained", "nodes", a.Members)
+	if qs.allowance.Partitioned() {
+		c.o.Logger.Info("answers on customers' limits regained", "nodes", a.Nodes)
 	}
-	qs.allowance.Heard(sent, a.Members)
+	qs.allowance.Answered(sent, a.Nodes)
 	return a, true
 }
 
@@ -182,7 +182,7 @@
 		return here(q)
 	}
 	h := c.holderState.target()
-	if h.Holder == "" || h.Life == c.o.Self.Life {
+	if h.Holder == "" || h.Incarnation == c.o.Self.Incarnation {
 		return nil, errNoHolderKnown
 	}
 	return there(ctx, h.Address, q)
@@ -194,20 +194,20 @@
 	if !of.Limit.Limited() {
 		return quota.Decision{}
 	}
-	return c.charge(ctx, of.Name, c.quotas.tolerance.Bound(of.Limit), need, peer.CreditQuestion{Customer: of.Name})
+	return c.charge(ctx, of.Name, c.quotas.tolerance.Bound(of.Limit), need, peer.GrantRequest{Customer: of.Name})
 }
 
 // ChargeEndpoint charges one request to an endpoint that accepts a limited rate, because it reported a capacity or
 // because it is cold. limit is the reported capacity in requests per second. It returns 0 if the request may be sent,
 // otherwise the time after which to ask again.
 func (c *Controller) ChargeEndpoint(ctx context.Context, e view.Endpoint, limit float64) time.Duration {
-	incarnation, nodes := signal.Life{Endpoint: e.Name, Start: e.Start}, int(c.memberCount.Load())
+	incarnation, nodes := signal.Incarnation{Endpoint: e.Name, Start: e.Start}, int(c.memberCount.Load())
 	if asked := c.o.Clock.Now(); e.Cold(asked) {
-		d := c.charge(ctx, coldAccount(incarnation), c.o.Cold.OfCold(e.ColdRate, nodes), 1, peer.CreditQuestion{Endpoint: e.Name, Born: e.Start, Limit: e.ColdRate, Cold: true})
-		if d.Step != quota.Pass {
-			return max(time.Millisecond, d.After)
+		d := c.charge(ctx, coldAccount(incarnation), c.o.ColdTolerance.Bound(e.ColdRate, nodes), 1, peer.GrantRequest{Endpoint: e.Name, Born: e.Start, Limit: e.ColdRate, Cold: true})
+		if d.Step != quota.Admitted {
+			return max(time.Millisecond, d.RetryAfter)
 		}
-		if c.o.Clock.Now().Sub(asked) > quota.GrantLife {
+		if c.o.Clock.Now().Sub(asked) > quota.ColdGrantTTL {
 			// The machine was suspended meanwhile, and the grant was for an interval that has passed.
 			return time.Millisecond
 		}
@@ -215,21 +215,21 @@
 			return 0
 		}
 	}
-	d := c.charge(ctx, endpointAccount(incarnation), quota.OfEndpoint(limit, nodes), 1, peer.CreditQuestion{Endpoint: e.Name, Born: e.Start, Limit: limit})
-	if d.Step == quota.Pass {
+	d := c.charge(ctx, endpointAccount(incarnation), quota.EndpointBound(limit, nodes), 1, peer.GrantRequest{Endpoint: e.Name, Born: e.Start, Limit: limit})
+	if d.Step == quota.Admitted {
 		return 0
 	}
-	return max(time.Millisecond, d.After)
+	return max(time.Millisecond, d.RetryAfter)
 }
 
 // endpointAccount returns the account name of an endpoint's incarnation. It begins with a NUL, which no customer's
 // name contains.
-func endpointAccount(l signal.Life) string {
+func endpointAccount(l signal.Incarnation) string {
 	return endpointPrefix + l.Endpoint + "@" + strconv.FormatInt(l.Start, 10)
 }
 
 // coldAccount returns the account name of an endpoint's incarnation while it is cold.
-func coldAccount(l signal.Life) string { return endpointAccount(l) + coldSuffix }
+func coldAccount(l signal.Incarnation) string { return endpointAccount(l) + coldSuffix }
 
 const (
 	endpointPrefix = "\x00"
@@ -244,14 +244,14 @@
 
 // charge charges need to an account under a bound, from the amount held by this node or by a grant that it asks the
 // lease holder for with q.
-func (c *Controller) charge(ctx context.Context, account string, of quota.Bound, need float64, q peer.CreditQuestion) quota.Decision {
+func (c *Controller) charge(ctx context.Context, account string, of quota.Bound, need float64, q peer.GrantRequest) quota.Decision {
 	qs := &c.quotas
 	sent := c.o.Clock.Now()
 	qs.mu.Lock()
 	d := qs.allowance.TakeBound(account, of, need, sent)
-	q.Node, q.Alone, q.Need, q.Ahead = c.o.Self.Holder, qs.allowance.Alone(), need, d.Ahead
+	q.Node, q.Partitioned, q.Need, q.Prefetch = c.o.Self.Holder, qs.allowance.Partitioned(), need, d.Prefetch
 	qs.mu.Unlock()
-	if d.Step != quota.AskFor {
+	if d.Step != quota.NeedsGrant {
 		return d
 	}
 	a, ok := c.askForGrant(ctx, &q)
@@ -263,26 +263,26 @@
 		d = qs.allowance.TakeBound(account, of, need, now)
 	case a.Unknown:
 		// This node and the lease holder have different configurations, one of which is about to change.
-		d = quota.Decision{Step: quota.Unknown, After: probeEvery}
+		d = quota.Decision{Step: quota.ShareUnknown, RetryAfter: probeEvery}
 	case a.Granted < need:
-		d = quota.Decision{Step: quota.Over, After: time.Duration(a.AfterMs) * time.Millisecond}
-		qs.allowance.Refused(account, need, d.After, now)
+		d = quota.Decision{Step: quota.OverLimit, RetryAfter: time.Duration(a.AfterMs) * time.Millisecond}
+		qs.allowance.Refused(account, need, d.RetryAfter, now)
 	default:
 		qs.allowance.Granted(account, a.Granted, need, sent)
 		return quota.Decision{}
 	}
-	if d.Step == quota.AskFor {
-		d = quota.Decision{Step: quota.Unknown, After: probeEvery}
+	if d.Step == quota.NeedsGrant {
+		d = quota.Decision{Step: quota.ShareUnknown, RetryAfter: probeEvery}
 	}
 	return d
 }
 
 // GiveBack refunds an amount that was charged at a time to an account, for a request that certainly has not run.
-func (c *Controller) GiveBack(name string, amount float64, charged time.Time) {
+func (c *Controller) Refund(name string, amount float64, charged time.Time) {
 	qs, now := &c.quotas, c.o.Clock.Now()
 	qs.mu.Lock()
 	defer qs.mu.Unlock()
-	qs.allowance.GiveBack(name, amount, charged, now)
+	qs.allowance.Refund(name, amount, charged, now)
 }
 
 // probeQuotaHolder asks the lease holder, once per probeEvery, whether it answers while this node spends its own
@@ -297,16 +297,16 @@
 	qs.mu.Lock()
 	defer qs.mu.Unlock()
 	qs.dropIdle(now)
-	if !limited && !qs.allowance.Alone() {
+	if !limited && !qs.allowance.Partitioned() {
 		// Without customers' limits, nothing needs to be known in advance: limits of endpoints are asked for with
 		// each request.
 		return
 	}
-	if qs.probing || !qs.allowance.Alone() && qs.allowance.Members() > 0 || now.Sub(qs.probed) < probeEvery {
+	if qs.probing || !qs.allowance.Partitioned() && qs.allowance.Members() > 0 || now.Sub(qs.probed) < probeEvery {
 		return
 	}
 	qs.probed, qs.probing = now, true
-	q := &peer.CreditQuestion{Node: c.o.Self.Holder, Alone: true}
+	q := &peer.GrantRequest{Node: c.o.Self.Holder, Partitioned: true}
 	go func() {
 		_, _ = c.askForGrant(ctx, q)
 		qs.mu.Lock()
--- a/internal/placer/readers.go
+++ b/internal/placer/readers.go
@@ -34,7 +34,7 @@
 	// answers other nodes: its lease ends within some hundred milliseconds.
 	outageReadWait  = 200 * time.Millisecond
 	outageReadSlack = 400 * time.Millisecond
-	// outagePause is the pause after a read while the lease holder asks. It is shorter than lease.VouchFresh by the
+	// outagePause is the pause after a read while the lease holder asks. It is shorter than lease.ReportFresh by the
 	// duration of a read; an outage costs two calls per second and node.
 	outagePause = 500 * time.Millisecond
 )
@@ -147,7 +147,7 @@
 			}
 			next, full = failed.First, r.readFull != nil
 			continue
-		case errors.As(err, &failed) && failed.Kind == logstore.PutBack:
+		case errors.As(err, &failed) && failed.Kind == logstore.Restored:
 			era.enter(failed.First, c.o.Clock.Now())
 			c.inbox.Send(ctx, storeRestored{r.name, next, failed.First})
 			next, full = failed.First, r.readFull != nil
@@ -257,7 +257,7 @@
 func (m storeReadFailed) handle(c *Controller) {
 	now := c.o.Clock.Now()
 	c.outage.Failed(now)
-	c.directory.StoreAway(now)
+	c.directory.StoreUnreachable(now)
 	if m.leaseTopic {
 		c.leaseReadFailedAt = now
 		c.dirty = c.dirty || c.holderLostStore.Load()
@@ -360,7 +360,7 @@
 	r.Value.Version = r.Offset + 1
 	if in := r.Value.Instance; in != nil && slices.Contains(c.o.Own, in.Address) {
 		c.countSkipped("endpoints", []error{&logstore.Fault{
-			Reason: logstore.Unnamed, Field: "address", Cause: fmt.Errorf("entry of endpoint %.60q names this node, %s", r.Value.ID, in.Address),
+			Reason: logstore.Invalid, Field: "address", Cause: fmt.Errorf("entry of endpoint %.60q names this node, %s", r.Value.ID, in.Address),
 			Remedy: "only endpoints may write to the list: find what else does",
 		}})
 		r.Value.Instance = nil
@@ -413,7 +413,7 @@
 	switch {
 	case in == nil:
 		c.o.Logger.Info("endpoint entry removed", "endpoint", r.ID, "version", r.Version, "relayed", r.Relayed)
-	case change == directory.Holding:
+	case change == directory.HoldingsChanged:
 		c.o.Logger.Debug("units held by the engine changed", "endpoint", r.ID, "models", len(in.Models), "version", r.Version)
 	default:
 		c.o.Logger.Info("endpoint changed", "endpoint", r.ID, "born", int64(in.Start), "service", in.Service, "address", in.Address, "draining", in.Draining,
@@ -433,7 +433,7 @@
 			c.o.Logger.Error("record skipped", "topic", "lease", "offset", r.Offset, "error", err.Error())
 			continue
 		}
-		c.lease.Fold(r.Offset, rec, now)
+		c.lease.Apply(r.Offset, rec, now)
 	}
 	c.lease.CaughtUp(m.page.Next, now)
 	c.leaseUncertain.Store(false)
@@ -448,7 +448,7 @@
 // for the log.
 func (c *Controller) watchNewHolder(before lease.Record, by string) {
 	holder, fence := c.lease.Holder()
-	if holder.SameLife(before) {
+	if holder.SameIncarnation(before) {
 		return
 	}
 	c.o.Logger.Info("lease holder changed", "holder", holder.Holder, "address", holder.Address, "fence", fence, "by", by)
--- a/internal/placer/returned_test.go
+++ b/internal/placer/returned_test.go
@@ -24,17 +24,17 @@
 	p.init()
 	holder.Apply(entry(1), now)
 	p.begin("h-1", 1, 2, holder.Records(now), 1)
-	q := peer.Question{Node: "n"}
+	q := peer.WatchRequest{Node: "n"}
 	fetch := func() {
 		s, _, _ := p.snapshot(q, now)
 		for _, r := range s.Instances {
 			r.Relayed = true
 			follower.Apply(r, now)
 		}
-		q.Life, q.Version = s.Life, s.Version
+		q.Life, q.Version = s.Term, s.Version
 	}
 	fetch()
-	holder.StoreAway(now)
+	holder.StoreUnreachable(now)
 	holder.Apply(gone, now)
 	p.publishInstances(holder.Records(now), 2)
 	follower.Apply(gone, now)
@@ -53,14 +53,14 @@
 	clock := clockwork.NewFakeClock()
 	d := newPeerControllers(clock, "h", "n")
 	h, n := d.nodes["h"], d.nodes["n"]
-	q := peer.Question{Node: "n"}
+	q := peer.WatchRequest{Node: "n"}
 	fetch := func() {
 		s, _, ok := h.published.snapshot(q, clock.Now())
 		if !ok {
 			t.Fatal("the node does not hold the lease")
 		}
 		n.applyRelayed(s, clock.Now(), snapshotReceived{s: s, madeAt: clock.Now()})
-		q.Life, q.Version = s.Life, s.Version
+		q.Life, q.Version = s.Term, s.Version
 	}
 	h.directory.Apply(directory.Record{ID: "i-0", Version: 1, Instance: &directory.Instance{ID: "i-0", Start: 1, Service: "s"}}, clock.Now())
 	h.listedTo = 1
--- a/internal/placer/signals.go
+++ b/internal/placer/signals.go
@@ -13,7 +13,7 @@
 // SignalsChanged sends a change of the endpoints' signals, their reported capacity or draining, to the other nodes.
 // It may be called from any goroutine.
 func (c *Controller) SignalsChanged() {
-	c.WakeDemand()
+	c.RequestReport()
 	c.publishSignals()
 }
 
@@ -27,8 +27,8 @@
 // and the rate while cold.
 func (c *Controller) limitEngines() {
 	capacities := c.o.Dispatcher.Capacities()
-	c.planner.SetLimits(func(engine string, start directory.Start) float64 {
-		reported, cold := capacities.Of(signal.Life{Endpoint: engine, Start: int64(start)}), c.halls.coldRates[engine]
+	c.planner.SetRateLimits(func(engine string, start directory.Start) float64 {
+		reported, cold := capacities.Of(signal.Incarnation{Endpoint: engine, Start: int64(start)}), c.halls.coldRates[engine]
 		if reported > 0 && cold > 0 {
 			return min(reported, cold)
 		}
@@ -40,8 +40,8 @@
 // entries that were added after the signal.
 func (c *Controller) applyDraining(now time.Time) {
 	changed := false
-	for _, l := range c.o.Dispatcher.LeavingEndpoints() {
-		if c.directory.DrainLife(l.Endpoint, directory.Start(l.Start)) {
+	for _, l := range c.o.Dispatcher.DrainingEndpoints() {
+		if c.directory.DrainIncarnation(l.Endpoint, directory.Start(l.Start)) {
 			c.o.Logger.Info("endpoint signalled that it is draining", "endpoint", l.Endpoint, "born", l.Start)
 			c.touch(l.Endpoint)
 			changed = true
@@ -54,8 +54,8 @@
 
 // applyReportedSignals applies the signals that an engine's report contains.
 func (c *Controller) applyReportedSignals(engine string, r *placement.Report, asked time.Time) {
-	ch := c.o.Dispatcher.Hear(view.Endpoint{Name: engine, Start: int64(r.Start)}, r.Said, asked)
-	if ch.News() {
+	ch := c.o.Dispatcher.ObserveSignals(view.Endpoint{Name: engine, Start: int64(r.Start)}, r.Said, asked)
+	if ch.Changed() {
 		c.logSignal(&ch, "report")
 	}
 }
@@ -65,7 +65,7 @@
 	if len(signals) == 0 {
 		return false
 	}
-	entries := peer.Words(signals, now)
+	entries := peer.DecodeSignals(signals, now)
 	for i := range entries {
 		entries[i].By = by
 	}
@@ -85,23 +85,23 @@
 // incarnation is the lease holder's.
 func (c *Controller) reportSignals(r *peer.Report, incarnation string, now time.Time) uint64 {
 	signals, to := c.o.Dispatcher.SignalsSince(c.reportAcked.of(incarnation).signals)
-	r.Signals = peer.Signals(signals, now)
+	r.Signals = peer.EncodeSignals(signals, now)
 	return to
 }
 
 // allSignals returns all endpoints' signals known here.
 func (c *Controller) allSignals(now time.Time) []peer.Signal {
 	signals, _ := c.o.Dispatcher.SignalsSince(0)
-	return peer.Signals(signals, now)
+	return peer.EncodeSignals(signals, now)
 }
 
 // addSignals adds the signals that are new to the requester, and reports whether there are any.
-func (c *Controller) addSignals(s *peer.Snapshot, q peer.Question, now time.Time) bool {
+func (c *Controller) addSignals(s *peer.Snapshot, q peer.WatchRequest, now time.Time) bool {
 	after := q.SignalsTo
-	if s.Whole {
+	if s.Full {
 		after = 0
 	}
 	signals, to := c.o.Dispatcher.SignalsSince(after)
-	s.Signals, s.SignalsTo = peer.Signals(signals, now), to
+	s.Signals, s.SignalsTo = peer.EncodeSignals(signals, now), to
 	return len(signals) > 0
 }
--- a/internal/placer/storestate.go
+++ b/internal/placer/storestate.go
@@ -53,7 +53,7 @@
 	for _, r := range records {
 		live[r.ID] = true
 		old, ok := p.store.instances[r.ID]
-		if !ok || old.record.Instance == nil || old.record.Since != r.Since || !directory.SamePlace(old.record.Instance, r.Instance) ||
+		if !ok || old.record.Instance == nil || old.record.Since != r.Since || !directory.SameRouting(old.record.Instance, r.Instance) ||
 			coldChanged(old.record.Instance.Cold, r.Instance.Cold) {
 			p.store.instances[r.ID] = instanceEntry{r, next}
 			changed = true
--- a/internal/placer/succession.go
+++ b/internal/placer/succession.go
@@ -42,10 +42,10 @@
 func (c *Controller) setTakeoverDelay(successor string) {
 	switch successor {
 	case "":
-		c.lease.Succession(false, c.o.TakeoverDelay)
+		c.lease.SetSuccession(false, c.o.TakeoverDelay)
 	case c.o.Self.Holder:
-		c.lease.Succession(true, 0)
+		c.lease.SetSuccession(true, 0)
 	default:
-		c.lease.Succession(false, c.o.TakeoverDelay+nonSuccessorDelay)
+		c.lease.SetSuccession(false, c.o.TakeoverDelay+nonSuccessorDelay)
 	}
 }
--- a/internal/placer/turn.go
+++ b/internal/placer/turn.go
@@ -13,12 +13,12 @@
 // copies of one request run one after the other across the fleet. It is safe for concurrent use.
 type runLocks struct {
 	mu    sync.Mutex
-	locks *quarantine.Turns
+	locks *quarantine.RunLocks
 }
 
 // Turn implements [peer.Holder]: it grants or releases the run lock of a request. It returns peer.ErrNotHolder if
 // this node does not hold the lease.
-func (c *Controller) Turn(q *peer.TurnQuestion) (*peer.Turn, error) {
+func (c *Controller) Turn(q *peer.RunLockRequest) (*peer.RunLock, error) {
 	if !c.leading.Load() {
 		return nil, peer.ErrNotHolder
 	}
@@ -26,22 +26,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if q.Release {
-		l.locks.Release(q.Request, q.Run, q.Well, now)
-		return &peer.Turn{}, nil
+		l.locks.Release(q.Request, q.Run, q.Answered, now)
+		return &peer.RunLock{}, nil
 	}
-	after := l.locks.Take(q.Request, q.Run, now)
+	after := l.locks.Acquire(q.Request, q.Run, now)
 	if after <= 0 {
-		return &peer.Turn{}, nil
+		return &peer.RunLock{}, nil
 	}
-	return &peer.Turn{AfterMs: max(1, after.Milliseconds())}, nil
+	return &peer.RunLock{AfterMs: max(1, after.Milliseconds())}, nil
 }
 
-// TakeTurn implements isolation.TurnTaker: it asks the lease holder for the run lock of an isolated request. It
+// TakeTurn implements isolation.RunLocker: it asks the lease holder for the run lock of an isolated request. It
 // returns 0 if the lock was granted, otherwise the time after which to ask again. It also returns 0 if the lease
 // holder does not answer; each node then orders its own copies only.
-func (c *Controller) TakeTurn(ctx context.Context, f quarantine.Fingerprint, run string) (after time.Duration) {
-	q := &peer.TurnQuestion{Request: f, Run: c.o.Self.Life + "/" + run}
-	a, err := askHolder(ctx, c, q, c.Turn, c.o.Peers.Turn)
+func (c *Controller) AcquireRun(ctx context.Context, f quarantine.Fingerprint, run string) (after time.Duration) {
+	q := &peer.RunLockRequest{Request: f, Run: c.o.Self.Incarnation + "/" + run}
+	a, err := askHolder(ctx, c, q, c.Turn, c.o.Peers.RequestRunLock)
 	if err != nil {
 		c.o.Logger.Info("no answer on the run lock of an isolated request", "fingerprint", f.String(), "error", err.Error())
 		return 0
@@ -49,12 +49,12 @@
 	return time.Duration(a.AfterMs) * time.Millisecond
 }
 
-// ReleaseTurn implements isolation.TurnTaker: it releases a run lock; well is true if an engine has answered the
+// ReleaseTurn implements isolation.RunLocker: it releases a run lock; well is true if an engine has answered the
 // request. It does not wait for the lease holder, since a lock that is not released expires.
-func (c *Controller) ReleaseTurn(f quarantine.Fingerprint, run string, well bool) {
-	q := &peer.TurnQuestion{Request: f, Run: c.o.Self.Life + "/" + run, Release: true, Well: well}
+func (c *Controller) ReleaseRun(f quarantine.Fingerprint, run string, well bool) {
+	q := &peer.RunLockRequest{Request: f, Run: c.o.Self.Incarnation + "/" + run, Release: true, Answered: well}
 	go func() {
-		if _, err := askHolder(context.Background(), c, q, c.Turn, c.o.Peers.Turn); err != nil {
+		if _, err := askHolder(context.Background(), c, q, c.Turn, c.o.Peers.RequestRunLock); err != nil {
 			c.o.Logger.Debug("run lock of an isolated request not released", "fingerprint", f.String(), "error", err.Error())
 		}
 	}()
--- a/internal/placer/watch.go
+++ b/internal/placer/watch.go
@@ -97,39 +97,39 @@
 // version. ok is false if nothing is published. urgent is true if the node should receive the snapshot at once: it
 // concerns a pool that its requests wait for, or changes the configuration, evacuations, feed plan or list of
 // endpoints.
-func (p *publication) snapshot(q peer.Question, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
+func (p *publication) snapshot(q peer.WatchRequest, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.incarnation == "" {
 		return nil, false, false
 	}
-	s = &peer.Snapshot{Life: p.incarnation, Fence: p.fence, Version: p.version, Nodes: p.nodes, Successor: p.successor, StoreDoubt: p.holderLostStore, Whole: q.Life != p.incarnation || q.Version < p.deltasFrom}
+	s = &peer.Snapshot{Term: p.incarnation, Fence: p.fence, Version: p.version, Nodes: p.nodes, Successor: p.successor, StoreUnconfirmed: p.holderLostStore, Full: q.Life != p.incarnation || q.Version < p.deltasFrom}
 	after := q.Version
-	if s.Whole {
+	if s.Full {
 		after = 0
 	}
 	if p.peersVersion > after {
 		s.Peers = p.peers
 	}
-	if len(p.feeders) > 0 && s.Whole || p.feedersVersion > after {
+	if len(p.feeders) > 0 && s.Full || p.feedersVersion > after {
 		s.Feeders = append([]feedtree.Node{}, p.feeders...)
 		urgent = true
 	}
 	if !p.holderSeenAt.IsZero() {
-		s.HolderMs = max(0, now.Sub(p.holderSeenAt)).Milliseconds()
+		s.HolderAgeMs = max(0, now.Sub(p.holderSeenAt)).Milliseconds()
 	}
-	if s.Whole {
+	if s.Full {
 		p.fullSnapshotAt(now).fill(s)
 	}
 	urgent = p.addServing(s, after, p.interest[q.Node], now) || urgent
-	urgent = p.addStoreState(s, q, after, now) || urgent || s.Whole
+	urgent = p.addStoreState(s, q, after, now) || urgent || s.Full
 	return s, urgent, true
 }
 
 // addServing adds what the engines serve and when units are expected, and reports whether that concerns a pool of
 // interest.
 func (p *publication) addServing(s *peer.Snapshot, after uint64, interest map[string]bool, now time.Time) (urgent bool) {
-	if !s.Whole {
+	if !s.Full {
 		urgent = p.addChanged(s, after, interest)
 	}
 	s.ReadyInMs = make(map[string]int64, len(p.readyAt))
@@ -155,14 +155,14 @@
 	}
 	for id, v := range p.removedAt {
 		if v > after {
-			s.Gone = append(s.Gone, id)
+			s.Removed = append(s.Removed, id)
 		}
 	}
 	return urgent
 }
 
 // addStoreState adds the state read from the store, and reports whether any of it is urgent.
-func (p *publication) addStoreState(s *peer.Snapshot, q peer.Question, after uint64, now time.Time) (urgent bool) {
+func (p *publication) addStoreState(s *peer.Snapshot, q peer.WatchRequest, after uint64, now time.Time) (urgent bool) {
 	st := &p.store
 	s.Lease, s.LeaseOffset = st.lease, st.leaseOffset
 	// The list of nodes, 2 KB for 77 nodes, is sent separately and only when it changes.
@@ -174,15 +174,15 @@
 		s.Config = st.config
 		urgent = true
 	}
-	if st.evacuations != nil && (s.Whole || st.evacuationsVersion > after) {
+	if st.evacuations != nil && (s.Full || st.evacuationsVersion > after) {
 		s.Evacuations = st.evacuations
 		urgent = true
 	}
-	if s.Whole {
+	if s.Full {
 		s.AgeMs = max(now.Sub(st.configAt), now.Sub(p.full.instancesAt)).Milliseconds()
 		return true
 	}
-	s.AgeMs, s.ListedTo = max(now.Sub(st.configAt), now.Sub(st.instancesAt)).Milliseconds(), st.listedTo
+	s.AgeMs, s.DirectoryVersion = max(now.Sub(st.configAt), now.Sub(st.instancesAt)).Milliseconds(), st.listedTo
 	for _, in := range st.instances {
 		if in.version > after {
 			s.Instances = append(s.Instances, in.record)
@@ -201,7 +201,7 @@
 
 // snapshot returns a snapshot of p together with the age of the configuration. The age is determined first: a
 // confirmation in between may be for a newer configuration than the one in p.
-func (c *Controller) snapshot(p *publication, q peer.Question, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
+func (c *Controller) snapshot(p *publication, q peer.WatchRequest, now time.Time) (s *peer.Snapshot, urgent, ok bool) {
 	age, known := c.configAge(now)
 	s, urgent, ok = p.snapshot(q, now)
 	if ok && known {
@@ -214,7 +214,7 @@
 
 // Watch implements [peer.Holder]: it answers as the lease holder, or as a feeder if q.Feeder is set. The snapshot
 // states how old the lease holder's state is.
-func (c *Controller) Watch(ctx context.Context, q peer.Question) (*peer.Snapshot, error) {
+func (c *Controller) Watch(ctx context.Context, q peer.WatchRequest) (*peer.Snapshot, error) {
 	if q.Feeder && !c.leading.Load() {
 		return c.watchFeeder(ctx, q)
 	}
@@ -239,7 +239,7 @@
 
 // watchFeeder answers a question to this node as a feeder. A question that comes before this node has fresh state
 // itself waits for it.
-func (c *Controller) watchFeeder(ctx context.Context, q peer.Question) (*peer.Snapshot, error) {
+func (c *Controller) watchFeeder(ctx context.Context, q peer.WatchRequest) (*peer.Snapshot, error) {
 	p := &c.relay
 	timeout := c.o.Clock.After(q.Wait)
 	for !p.fresh(c.o.Clock.Now()) {
@@ -278,7 +278,7 @@
 
 // answer answers a question from a publication: at once if there is an urgent change, otherwise when there is a
 // change or q.Wait is over.
-func (c *Controller) answer(ctx context.Context, p *publication, w *watcher, q peer.Question) (*peer.Snapshot, error) {
+func (c *Controller) answer(ctx context.Context, p *publication, w *watcher, q peer.WatchRequest) (*peer.Snapshot, error) {
 	asked := c.o.Clock.Now()
 	s, urgent, ok := c.snapshot(p, q, asked)
 	if !ok {
--- a/internal/policylab/experiment.go
+++ b/internal/policylab/experiment.go
@@ -76,7 +76,7 @@
 		{"without the histogram of pauses", policy.PartPauses},
 		{"without counting waiters", policy.PartWaiters},
 		{"without prewarming", policy.PartPrewarm},
-		{"evicting by idle time", policy.PartLoss},
+		{"evicting by idle time", policy.PartReloadCost},
 	} {
 		c := policy.NewCosted(policy.Weights{ColdStartSecond: 1, IdleHour: ablationWeight})
 		c.Off = part.off
--- a/internal/policylab/policies.go
+++ b/internal/policylab/policies.go
@@ -21,8 +21,8 @@
 // neverUnload keeps every replica loaded, even when a queued unit finds no free memory.
 type neverUnload struct{ policy.Fixed }
 
-// Loss implements plan.Policy with an infinite reload cost, so that no replica is evicted.
-func (neverUnload) Loss(string, time.Duration, time.Time) float64 { return math.Inf(1) }
+// ReloadCost implements plan.Policy with an infinite reload cost, so that no replica is evicted.
+func (neverUnload) ReloadCost(string, time.Duration, time.Time) float64 { return math.Inf(1) }
 
 // Baselines returns the policies that the product's policy is compared with: never unloading,
 // evicting the least recently used on demand, and a fixed keep-alive of each length in FixedKeeps.
@@ -101,8 +101,8 @@
 	return policy.Decision{Hold: gap < 2*ahead, Prewarm: gap < ahead}
 }
 
-// Loss implements plan.Policy: the replica whose next use is furthest away is evicted first.
-func (o *oracle) Loss(unit string, _ time.Duration, now time.Time) float64 {
+// ReloadCost implements plan.Policy: the replica whose next use is furthest away is evicted first.
+func (o *oracle) ReloadCost(unit string, _ time.Duration, now time.Time) float64 {
 	gap, ok := o.timeToNextUse(unit, now)
 	if !ok {
 		return 0
--- a/internal/policylab/simulation.go
+++ b/internal/policylab/simulation.go
@@ -137,7 +137,7 @@
 	}
 	s.planner = plan.New(s.self, pol, 0)
 	// Demand reports are never lost here and so never renewed; they must not expire during the run.
-	s.table.Life = time.Duration(work.Days+1) * 24 * time.Hour
+	s.table.ReportTTL = time.Duration(work.Days+1) * 24 * time.Hour
 	s.setUp()
 	for i := range work.Arrivals {
 		a := work.Arrivals[i]
@@ -198,7 +198,7 @@
 	o := s.state.Apply(s.offset, r)
 	s.offset++
 	s.planner.Observe(o, s.time())
-	s.planner.Settled(o, s.time())
+	s.planner.ResolveProposal(o, s.time())
 	return o
 }
 
@@ -335,7 +335,7 @@
 	}
 	s.table.Put(s.self.Node, r, s.time())
 	if base := s.state.Catalog.Units[unit].Base; base != "" {
-		s.table.Used(base, s.time())
+		s.table.MarkUsed(base, s.time())
 	}
 }
 
--- a/internal/quarantinelab/messages.go
+++ b/internal/quarantinelab/messages.go
@@ -11,13 +11,13 @@
 // from the beginning.
 func (s *simulation) setHolder(n *node) {
 	if s.holder != nil {
-		s.holder.registry.SetWhole(false)
+		s.holder.registry.SetComplete(false)
 	}
 	s.holder = n
 	if n == nil {
 		return
 	}
-	n.registry.SetWhole(true)
+	n.registry.SetComplete(true)
 	n.reportDue = false
 	for _, o := range s.nodes {
 		o.reportedVersion, o.receivedVersion = 0, 0
@@ -35,14 +35,14 @@
 	s.setHolder(nil)
 	// Without a lease holder, each node decides by what it knows.
 	for _, n := range s.nodes {
-		n.registry.SetWhole(true)
+		n.registry.SetComplete(true)
 		s.decide(n)
 	}
 	old.pausedUntil = s.now + s.cfg.HolderGap
 	old.healthySince = old.pausedUntil
 	s.after(s.cfg.HolderGap, func() {
 		for _, n := range s.nodes {
-			n.registry.SetWhole(false)
+			n.registry.SetComplete(false)
 		}
 		s.setHolder(s.nodes[(old.index+1)%len(s.nodes)])
 	})
@@ -94,7 +94,7 @@
 		s.after(retryInterval, func() { s.deliver(n) })
 		return
 	}
-	entries, to := n.registry.Since(n.reportedVersion, quarantine.Own)
+	entries, to := n.registry.Since(n.reportedVersion, quarantine.LocalRecords)
 	n.reportedVersion = to
 	if len(entries) == 0 {
 		return
@@ -122,14 +122,14 @@
 
 // push delivers an update from lease holder h to node n, or schedules a retry if it cannot arrive.
 func (s *simulation) push(h, n *node) {
-	if h != s.holder || n.receivedVersion >= h.registry.ToldVersion() {
+	if h != s.holder || n.receivedVersion >= h.registry.SharedVersion() {
 		return
 	}
 	if n.pausedUntil > s.now || s.drawLoss() {
 		s.after(max(retryInterval, n.pausedUntil-s.now), func() { s.push(h, n) })
 		return
 	}
-	entries, to := h.registry.Since(n.receivedVersion, quarantine.Concerning)
+	entries, to := h.registry.Since(n.receivedVersion, quarantine.SharedRecords)
 	n.receivedVersion = to
 	if len(entries) == 0 {
 		return
@@ -142,10 +142,10 @@
 
 // storeVerdicts writes the verdicts of a node to the store, without the suspicions behind them.
 func (s *simulation) storeVerdicts(h *node) {
-	entries, _ := h.registry.Since(0, quarantine.Concerning)
+	entries, _ := h.registry.Since(0, quarantine.SharedRecords)
 	for _, e := range entries {
 		if e.Verdict != nil {
-			e.Blames = nil
+			e.Suspicions = nil
 			s.stored[e.Request] = e
 		}
 	}
@@ -188,7 +188,7 @@
 	}
 	for _, way := range [][2]*node{{n, o}, {o, n}} {
 		from, to := way[0], way[1]
-		entries, version := from.registry.Since(from.exchangedVersions[to], quarantine.All)
+		entries, version := from.registry.Since(from.exchangedVersions[to], quarantine.AllRecords)
 		from.exchangedVersions[to] = version
 		if len(entries) == 0 {
 			continue
--- a/internal/quarantinelab/simulation.go
+++ b/internal/quarantinelab/simulation.go
@@ -146,7 +146,7 @@
 		suspectRuns: make(map[*engine]int), exchangedVersions: make(map[*node]uint64),
 	}
 	n.registry.SetEngines(s.cfg.Engines)
-	n.registry.SetWhole(false)
+	n.registry.SetComplete(false)
 	return n
 }
 
@@ -244,12 +244,12 @@
 		s.send(r, n, k)
 		return
 	}
-	if wait := n.registry.Unsettled(r.fingerprint, s.time()); wait > 0 {
+	if wait := n.registry.SettleDelay(r.fingerprint, s.time()); wait > 0 {
 		s.after(wait, func() { s.attempt(r, n, k) })
 		return
 	}
 	s.decide(n)
-	if _, held := n.registry.Held(r.fingerprint, s.time()); held {
+	if _, held := n.registry.Blocked(r.fingerprint, s.time()); held {
 		if r.deadly < 0 {
 			s.result.Bystanders++
 		}
@@ -271,7 +271,7 @@
 		s.result.Late[r.deadly]++
 	}
 	u := &run{r: r, n: n, e: e, attempt: k, suspect: suspect}
-	u.tracked = n.tracker.Send(r.fingerprint, quarantine.Life{Engine: e.name(), Start: int64(e.incarnation + 1)}, s.time())
+	u.tracked = n.tracker.Send(r.fingerprint, quarantine.Incarnation{Engine: e.name(), Start: int64(e.incarnation + 1)}, s.time())
 	e.runs[u] = true
 	if suspect {
 		n.suspectRuns[e]++
@@ -375,7 +375,7 @@
 	}
 	slices.SortFunc(runs, func(a, b *run) int { return slices.Compare(a.r.fingerprint[:], b.r.fingerprint[:]) })
 	e.runs = make(map[*run]bool)
-	incarnation := quarantine.Life{Engine: e.name(), Start: int64(e.incarnation + 1)}
+	incarnation := quarantine.Incarnation{Engine: e.name(), Start: int64(e.incarnation + 1)}
 	for _, u := range runs {
 		s.releaseSuspect(u)
 		s.after(s.between(detectionTime), func() { s.connectionBroken(u, incarnation) })
@@ -386,7 +386,7 @@
 
 // connectionBroken is called when a node notices that its connection for a run broke because the
 // engine crashed. The node records the suspicion and makes the next attempt, if one is left.
-func (s *simulation) connectionBroken(u *run, incarnation quarantine.Life) {
+func (s *simulation) connectionBroken(u *run, incarnation quarantine.Incarnation) {
 	if u.n.pausedUntil > s.now {
 		s.after(u.n.pausedUntil-s.now, func() { s.connectionBroken(u, incarnation) })
 		return
@@ -404,13 +404,13 @@
 
 // suspect records suspicions of a crash in the node's registry: of the request whose connection broke
 // if the crash is known to the tracker, otherwise of all requests that ran at the engine.
-func (s *simulation) suspect(u *run, incarnation quarantine.Life) {
+func (s *simulation) suspect(u *run, incarnation quarantine.Incarnation) {
 	n, now := u.n, s.time()
 	if b, known := n.tracker.Break(u.tracked, now); known {
-		n.registry.Blame([]quarantine.Fingerprint{u.r.fingerprint}, []quarantine.Blame{b}, now)
-	} else if id, fs, bs := n.tracker.End(incarnation, now); len(fs) > 0 {
-		n.registry.Ended(id, now)
-		n.registry.Blame(fs, bs, now)
+		n.registry.Suspect([]quarantine.Fingerprint{u.r.fingerprint}, []quarantine.Suspicion{b}, now)
+	} else if id, fs, bs := n.tracker.EngineCrashed(incarnation, now); len(fs) > 0 {
+		n.registry.RecordCrash(id, now)
+		n.registry.Suspect(fs, bs, now)
 	}
 	s.scheduleDecision(n)
 	s.report(n)
@@ -419,13 +419,13 @@
 // scheduleDecision has a node decide once its latest crashes have settled.
 func (s *simulation) scheduleDecision(n *node) {
 	if n.registry.Pending() {
-		s.after(quarantine.Settle, func() { s.decide(n) })
+		s.after(quarantine.SettleTime, func() { s.decide(n) })
 	}
 }
 
 // decide has a node's registry reach verdicts on the crashes that have settled.
 func (s *simulation) decide(n *node) {
-	if len(n.registry.Judge(s.time())) > 0 {
+	if len(n.registry.Evaluate(s.time())) > 0 {
 		s.publish(n)
 	}
 }
@@ -439,7 +439,7 @@
 
 // countMessage adds a message and its encoded size to the figures.
 func (s *simulation) countMessage(entries []quarantine.Entry) {
-	raw, err := json.Marshal(peer.Suspects(entries, s.time()))
+	raw, err := json.Marshal(peer.EncodeSuspects(entries, s.time()))
 	if err != nil {
 		panic(err)
 	}
--- a/internal/quotalab/doc.go
+++ b/internal/quotalab/doc.go
@@ -3,7 +3,7 @@
 // limits is refused, for several designs. The same seed gives the same figures. Its callers are the
 // quota command of olivebench and the tests.
 //
-// The simulation uses the same [quota.Granter] and [quota.Purse] as a running node: the granter
+// The simulation uses the same [quota.Granter] and [quota.Allowance] as a running node: the granter
 // holds the limits' budgets, and each node's purse caches grants and falls back to the node's own
 // share while the granter does not answer. Arrivals of each customer are spread over the nodes at
 // random. Grant requests and reports reach the granter, or do not while it is lost or the node is
--- a/internal/quotalab/simulation.go
+++ b/internal/quotalab/simulation.go
@@ -124,7 +124,7 @@
 	rnd        *rand.Rand
 	start      time.Time
 	granter    *quota.Granter
-	allowances []*quota.Purse
+	allowances []*quota.Allowance
 	// reportedAt is when each node last tried to contact the granter.
 	reportedAt []time.Time
 	customers  []*customerState
@@ -141,7 +141,7 @@
 	sim := &simulation{design: d, load: l, rnd: rand.New(rand.NewPCG(l.Seed, 1)), start: time.Unix(1000, 0), reportedAt: make([]time.Time, l.Nodes)}
 	sim.granter = quota.NewGranter(Shifted.Tolerance, l.Nodes, sim.start)
 	for i := range l.Nodes {
-		sim.allowances = append(sim.allowances, quota.NewPurse(strconv.Itoa(i), Shifted.Tolerance))
+		sim.allowances = append(sim.allowances, quota.NewAllowance(strconv.Itoa(i), Shifted.Tolerance))
 	}
 	sim.addCustomers()
 	for d := time.Duration(0); d < l.For; d += step {
@@ -186,7 +186,7 @@
 	}
 	for i, allowance := range sim.allowances {
 		every := reportEvery
-		if allowance.Alone() || allowance.Members() == 0 {
+		if allowance.Partitioned() || allowance.Members() == 0 {
 			every = probeEvery
 		}
 		if now.Sub(sim.reportedAt[i]) < every {
@@ -194,8 +194,8 @@
 		}
 		sim.reportedAt[i] = now
 		if sim.granterReachable(i, now) {
-			sim.granter.Heard(strconv.Itoa(i), false, now)
-			allowance.Heard(now, sim.granter.Members(now))
+			sim.granter.Observe(strconv.Itoa(i), false, now)
+			allowance.Answered(now, sim.granter.Members(now))
 		}
 	}
 }
@@ -271,21 +271,21 @@
 		return sim.chargeFixedShare(node, c, need, now), now
 	}
 	d := allowance.Take(c.name, c.limit, need, now)
-	if d.Step != quota.AskFor {
-		return d.Step == quota.Pass, now
+	if d.Step != quota.NeedsGrant {
+		return d.Step == quota.Admitted, now
 	}
 	sim.grantRequests++
 	if !sim.granterReachable(node, now) {
 		if sim.design == GranterOrShare {
-			allowance.Lost(now, now.Add(grantTimeout))
-			return allowance.Take(c.name, c.limit, need, now.Add(grantTimeout)).Step == quota.Pass, now.Add(grantTimeout)
+			allowance.Unanswered(now, now.Add(grantTimeout))
+			return allowance.Take(c.name, c.limit, need, now.Add(grantTimeout)).Step == quota.Admitted, now.Add(grantTimeout)
 		}
 		return false, now
 	}
-	sim.granter.Heard(strconv.Itoa(node), false, now)
-	a := sim.granter.Ask(c.name, c.limit, need, d.Ahead, now)
+	sim.granter.Observe(strconv.Itoa(node), false, now)
+	a := sim.granter.Grant(c.name, c.limit, need, d.Prefetch, now)
 	if a.Granted < need {
-		allowance.Refused(c.name, need, a.After, now)
+		allowance.Refused(c.name, need, a.RetryAfter, now)
 		return false, now
 	}
 	allowance.Granted(c.name, a.Granted, need, now)
@@ -304,8 +304,8 @@
 		g = quota.NewGranter(quota.Tolerance{}, 0, sim.start)
 		sim.fixedShares[node] = g
 	}
-	g.Heard("itself", false, now)
-	return g.Ask(c.name, l, need, 0, now).Granted > 0
+	g.Observe("itself", false, now)
+	return g.Grant(c.name, l, need, 0, now).Granted > 0
 }
 
 // result returns the figures, from the tokens admitted in each window.
--- a/internal/traffic/dispatcher.go
+++ b/internal/traffic/dispatcher.go
@@ -19,22 +19,22 @@
 // Hooks are the callbacks by which the dispatcher notifies the control side without waiting for its next poll. They
 // are called without the dispatcher's mutex held.
 type Hooks struct {
-	// Waiting is called when a request enters an empty queue.
-	Waiting func()
-	// Rare is called when a scarce pool (at most maxScarceEndpoints endpoints) gets the only running request of this
+	// QueueStarted is called when a request enters an empty queue.
+	QueueStarted func()
+	// ScarcePoolBusy is called when a scarce pool (at most maxScarceEndpoints endpoints) gets the only running request of this
 	// node without queueing, and when the last one ends. It may be nil.
-	Rare func()
-	// Leaving is called with the name of an endpoint whose answer said that it is draining.
-	Leaving func(endpoint string)
-	// Missing is called when an engine answers that it does not hold the model of the pool. It may be nil.
-	Missing func(endpoint, pool string)
+	ScarcePoolBusy func()
+	// Draining is called with the name of an endpoint whose answer said that it is draining.
+	Draining func(endpoint string)
+	// ModelMissing is called when an engine answers that it does not hold the model of the pool. It may be nil.
+	ModelMissing func(endpoint, pool string)
 	// Charge charges one request to an endpoint whose rate limit, in requests a second over all nodes, is limit. It
 	// returns 0 when the request may be sent, or else the time until the limit has capacity again. If it is nil, rate
 	// limits of endpoints are not enforced.
 	Charge func(ctx context.Context, e view.Endpoint, limit float64) time.Duration
-	// Heard is called when the answer to a request of this node changed the recorded signals of its endpoint. It may
+	// SignalsChanged is called when the answer to a request of this node changed the recorded signals of its endpoint. It may
 	// be nil.
-	Heard func()
+	SignalsChanged func()
 }
 
 // Dispatcher assigns requests to endpoints. It is safe for concurrent use.
@@ -54,7 +54,7 @@
 	// retries are the limits of every retry budget of this node.
 	retries retry.Limits
 	// signals holds the last signals of each endpoint: rate limit, draining, backoff.
-	signals *signal.Book
+	signals *signal.Registry
 	// heldByLimit is Totals.HeldByLimit.
 	heldByLimit int64
 	// withheld is Totals.Withheld.
@@ -73,7 +73,7 @@
 		clock: clock, hall: hall, limits: limits, hooks: hooks,
 		view: &view.View{}, pools: make(map[string]*pool), endpointStates: make(map[string]*endpointState),
 		budgets: make(map[string]*retry.Budget), retries: retry.DefaultLimits,
-		signals: signal.NewBook(), withheld: make(map[string]int64),
+		signals: signal.NewRegistry(), withheld: make(map[string]int64),
 		stopped: make(chan struct{}),
 	}
 }
@@ -128,7 +128,7 @@
 		b.Sent(d.clock.Now())
 		return
 	}
-	b.Drop()
+	b.Release()
 }
 
 // acquireAdmitted returns a slot for an admitted request that arrived at start, at once if an endpoint is free and
@@ -168,7 +168,7 @@
 	if first {
 		// The node that decides where models are loaded should learn of the demand before the request has waited
 		// long.
-		d.hooks.Waiting()
+		d.hooks.QueueStarted()
 	}
 	return d.wait(ctx, p, w, start, now, cold)
 }
@@ -214,12 +214,12 @@
 // scarce reports whether the pool has at most maxScarceEndpoints endpoints.
 func (p *pool) scarce() bool { return len(p.endpoints) <= maxScarceEndpoints }
 
-// notifyScarce calls Hooks.Rare if the work of a scarce pool began or ended. With periodic reports alone, a second
+// notifyScarce calls Hooks.ScarcePoolBusy if the work of a scarce pool began or ended. With periodic reports alone, a second
 // apart, 21 of 100 unloads hit models that had requests by then; the engine finished those first, for 1.5 s or more,
 // and refused its next order meanwhile (124 engines, 195 nodes).
 func (d *Dispatcher) notifyScarce(changed bool) {
-	if changed && d.hooks.Rare != nil {
-		d.hooks.Rare()
+	if changed && d.hooks.ScarcePoolBusy != nil {
+		d.hooks.ScarcePoolBusy()
 	}
 }
 
@@ -246,11 +246,11 @@
 // release records the result of a slot, calls the hooks that it triggers, and serves the queues that share the
 // endpoint.
 func (d *Dispatcher) release(s *Slot, r Result) {
-	if r.Leaving {
-		d.hooks.Leaving(s.Endpoint.Name)
+	if r.Draining {
+		d.hooks.Draining(s.Endpoint.Name)
 	}
-	if r.Missing && d.hooks.Missing != nil {
-		d.hooks.Missing(s.Endpoint.Name, s.pool.basePool)
+	if r.Missing && d.hooks.ModelMissing != nil {
+		d.hooks.ModelMissing(s.Endpoint.Name, s.pool.basePool)
 	}
 	d.notifyScarce(d.recordResult(s, r))
 }
@@ -270,7 +270,7 @@
 	if r.Err == nil && !r.Full && !r.NotStarted {
 		s.pool.model.Serve.Observe(now.Sub(s.grantedAt))
 	}
-	if r.Leaving {
+	if r.Draining {
 		for p := range s.endpointState.pools {
 			p.remove(s.endpointState)
 		}
@@ -443,7 +443,7 @@
 		if ep == nil || ep.incarnation != e.Incarnation {
 			share := e.Concurrency / max(1, len(v.Live))
 			ep = newEndpointState(e, share)
-			ep.backoffUntil = d.signals.Rest(ep.incarnationID)
+			ep.backoffUntil = d.signals.BackoffUntil(ep.incarnationID)
 			d.endpointStates[e.Name] = ep
 		}
 		ep.hall, ep.coldUntil, ep.coldRate = e.Hall, e.ColdUntil, e.ColdRate
--- a/internal/traffic/dispatcher_test.go
+++ b/internal/traffic/dispatcher_test.go
@@ -18,7 +18,7 @@
 )
 
 func newDispatcher(clock clockwork.Clock) *Dispatcher {
-	return New(clock, "h", queue.Limits{Items: 10, Bytes: 1000}, Hooks{Waiting: func() {}, Leaving: func(string) {}})
+	return New(clock, "h", queue.Limits{Items: 10, Bytes: 1000}, Hooks{QueueStarted: func() {}, Draining: func(string) {}})
 }
 
 // acquire calls Acquire on another goroutine and returns a channel with its error.
@@ -42,7 +42,7 @@
 	if !errors.As(err, &e) {
 		return refusalSummary{}
 	}
-	return refusalSummary{e.Kind, e.Hint()}
+	return refusalSummary{e.Kind, e.RetryHint()}
 }
 
 // TestStopWaiting guards against a request that waits for a cold model while the process shuts down, and is cut off
@@ -283,7 +283,7 @@
 	}
 }
 
-// TestScarceWorkIsReported checks that Hooks.Rare is called when the work of a pool with few endpoints begins and
+// TestScarceWorkIsReported checks that Hooks.ScarcePoolBusy is called when the work of a pool with few endpoints begins and
 // ends, but not for one with many. Without it, a model with a running request may be unloaded on the strength of a
 // report that is a second old.
 func TestScarceWorkIsReported(t *testing.T) {
@@ -300,7 +300,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			calls := 0
-			d := New(clock, "h", queue.Limits{Items: 10, Bytes: 1000}, Hooks{Waiting: func() {}, Rare: func() { calls++ }, Leaving: func(string) {}})
+			d := New(clock, "h", queue.Limits{Items: 10, Bytes: 1000}, Hooks{QueueStarted: func() {}, ScarcePoolBusy: func() { calls++ }, Draining: func(string) {}})
 			v := &view.View{Endpoints: map[string][]view.Endpoint{}}
 			for i := range tt.endpoints {
 				v.Endpoints["unit/s/m"] = append(v.Endpoints["unit/s/m"], view.Endpoint{Name: fmt.Sprintf("e%d", i), Incarnation: 1, Concurrency: 8})
--- a/internal/traffic/endpoint_state.go
+++ b/internal/traffic/endpoint_state.go
@@ -48,8 +48,8 @@
 // replica returns the endpoint's state at now in the form that choose.Pick takes. hall is the data hall of this node.
 func (ep *endpointState) replica(hall string, now time.Time) choose.Replica {
 	return choose.Replica{
-		Engine: ep.name, SameHall: ep.hall == hall, Running: ep.running, Prompts: ep.prompts,
-		Suspects: ep.suspectRequests, Reported: ep.reported, ReportedAt: ep.reportedAt, Window: ep.window, Health: &ep.health, Shut: ep.charging || now.Before(ep.unavailableUntil()),
+		Engine: ep.name, SameHall: ep.hall == hall, Running: ep.running, UnreadTokens: ep.prompts,
+		Suspects: ep.suspectRequests, Reported: ep.reported, ReportedAt: ep.reportedAt, Window: ep.window, Health: &ep.health, Closed: ep.charging || now.Before(ep.unavailableUntil()),
 	}
 }
 
@@ -60,14 +60,14 @@
 	}
 	switch {
 	case r.Full:
-		ep.window.Full(now)
+		ep.window.Refused(now)
 	case r.NotStarted:
 	case r.Ended:
 		// One of the requests that ran there may have terminated the process, and all of them fail at once, so
 		// however many fail, it counts as one failure of the endpoint.
-		ep.health.Ended(now)
+		ep.health.ProcessEnded(now)
 	case r.Silent:
-		ep.health.Silent(now)
+		ep.health.Unresponsive(now)
 	case r.Err != nil:
 		ep.health.Failed(now)
 	default:
--- a/internal/traffic/pool.go
+++ b/internal/traffic/pool.go
@@ -68,7 +68,7 @@
 		return nil
 	}
 	if req.Retry {
-		if !budget.Hold(now) {
+		if !budget.Reserve(now) {
 			return refusal.New(refusal.NoEndpoint, "an endpoint of %s failed and the retry budget is used up", p.name)
 		}
 		return nil
@@ -77,13 +77,13 @@
 	if p.objective == 0 || req.Objective > 0 && req.Objective < p.objective {
 		p.objective = req.Objective
 	}
-	budget.Earn(now)
-	least := p.model.AtLeast(admit.Wait{
+	budget.AddFirst(now)
+	least := p.model.MinWait(admit.Backlog{
 		Ready: len(p.endpoints) > 0, Ahead: p.queue.Len(), Capacity: p.capacity(), LoadElapsed: p.loadElapsed(now),
 	})
 	if left := req.Deadline.Sub(now); least > left {
 		return refusal.New(refusal.CannotMakeDeadline, "%s of the request's time is left, and the wait for %s is at least %s",
-			left.Round(time.Millisecond), p.name, least.Round(time.Millisecond)).After(least - left)
+			left.Round(time.Millisecond), p.name, least.Round(time.Millisecond)).WithRetryAfter(least - left)
 	}
 	return nil
 }
@@ -117,11 +117,11 @@
 	for i := range n {
 		cand := p.endpoints[(i+p.rotation)%n]
 		r := cand.endpointState.replica(hall, now)
-		r.Shut = r.Shut || req.SkipLimited && cand.endpointState.limit > 0
+		r.Closed = r.Closed || req.SkipLimited && cand.endpointState.limit > 0
 		r.Avoid = n > 1 && slices.Contains(req.Avoid, cand.Name)
-		r.Home = cand.Name == affinityEndpoint
+		r.HasPrefix = cand.Name == affinityEndpoint
 		if req.mayCrashEngine() {
-			r.Apart, r.Spread = true, mix(xxhash.Sum64(req.RequestFingerprint[:])^xxhash.Sum64String(cand.Name))
+			r.Suspect, r.Spread = true, mix(xxhash.Sum64(req.RequestFingerprint[:])^xxhash.Sum64String(cand.Name))
 		}
 		replicas = append(replicas, r)
 	}
--- a/internal/traffic/signals.go
+++ b/internal/traffic/signals.go
@@ -12,7 +12,7 @@
 // backoff.
 type endpointSignals struct {
 	// incarnationID identifies the incarnation of the endpoint that the signals come from.
-	incarnationID signal.Life
+	incarnationID signal.Incarnation
 	// limit is the endpoint's rate limit for all nodes together, in requests a second; 0 for none.
 	limit float64
 	// limitedUntil is when the rate limit has capacity again. charging is set while a request is being charged to it.
@@ -61,27 +61,27 @@
 }
 
 // incarnationOf returns the identity of an endpoint's incarnation.
-func incarnationOf(e *view.Endpoint) signal.Life {
-	return signal.Life{Endpoint: e.Name, Start: e.Start}
+func incarnationOf(e *view.Endpoint) signal.Incarnation {
+	return signal.Incarnation{Endpoint: e.Name, Start: e.Start}
 }
 
-// Hear records the signals s in the answer of endpoint e to a request sent at the given time. It returns what they
-// changed, and calls Hooks.Heard if they changed anything.
-func (d *Dispatcher) Hear(e view.Endpoint, s signal.Said, sent time.Time) signal.Change {
+// ObserveSignals records the signals s in the answer of endpoint e to a request sent at the given time. It returns what they
+// changed, and calls Hooks.SignalsChanged if they changed anything.
+func (d *Dispatcher) ObserveSignals(e view.Endpoint, s signal.Signals, sent time.Time) signal.Change {
 	c := d.recordSignals(incarnationOf(&e), s, sent)
-	if c.News() && d.hooks.Heard != nil {
-		d.hooks.Heard()
+	if c.Changed() && d.hooks.SignalsChanged != nil {
+		d.hooks.SignalsChanged()
 	}
 	return c
 }
 
 // recordSignals is Hear without the hook. It puts the changed signals in force.
-func (d *Dispatcher) recordSignals(l signal.Life, s signal.Said, sent time.Time) signal.Change {
+func (d *Dispatcher) recordSignals(l signal.Incarnation, s signal.Signals, sent time.Time) signal.Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
-	c := d.signals.Hear(l, s, sent, now)
-	if c.News() || s.Rest > 0 {
+	c := d.signals.Observe(l, s, sent, now)
+	if c.Changed() || s.Backoff > 0 {
 		d.applySignals(l, now)
 	}
 	return c
@@ -103,21 +103,21 @@
 }
 
 // SignalsSince returns the signals that changed after the given version, for other nodes, and the current version.
-func (d *Dispatcher) SignalsSince(version uint64) (words []signal.Word, to uint64) {
+func (d *Dispatcher) SignalsSince(version uint64) (words []signal.Report, to uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.signals.Since(version), d.signals.Version()
 }
 
 // MergeSignals merges signals that other nodes received and puts them in force. It returns what changed here.
-func (d *Dispatcher) MergeSignals(words []signal.Word) []signal.Change {
+func (d *Dispatcher) MergeSignals(words []signal.Report) []signal.Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
 	var out []signal.Change
 	for _, w := range words {
-		if c := d.signals.Merge(w, now); c.News() {
-			d.applySignals(w.Life, now)
+		if c := d.signals.Merge(w, now); c.Changed() {
+			d.applySignals(w.Incarnation, now)
 			out = append(out, c)
 		}
 	}
@@ -126,7 +126,7 @@
 
 // applySignals puts the recorded signals of an incarnation in force: it removes a draining or superseded endpoint
 // from its pools, or else updates its rate limit and backoff and serves the queues.
-func (d *Dispatcher) applySignals(l signal.Life, now time.Time) {
+func (d *Dispatcher) applySignals(l signal.Incarnation, now time.Time) {
 	ep := d.endpointStates[l.Endpoint]
 	switch {
 	case ep == nil:
@@ -136,14 +136,16 @@
 		}
 	case ep.incarnationID == l:
 		ep.setRateLimit(d.limitOf(ep, now))
-		ep.setBackoff(d.signals.Rest(l), now)
+		ep.setBackoff(d.signals.BackoffUntil(l), now)
 		d.reevaluate(ep, now)
 	}
 }
 
 // excluded reports whether an incarnation must get no requests any more, because it is draining or because a later
 // incarnation of the endpoint has sent signals.
-func (d *Dispatcher) excluded(l signal.Life) bool { return d.signals.Leaves(l) || d.signals.Former(l) }
+func (d *Dispatcher) excluded(l signal.Incarnation) bool {
+	return d.signals.Draining(l) || d.signals.Superseded(l)
+}
 
 // limitOf returns the rate limit of an endpoint over all nodes, in requests a second: the smaller of the limit that
 // it reported and, while it is cold, its cold rate. It returns 0 without a limit, or if Hooks.Charge is nil.
@@ -226,11 +228,11 @@
 	}
 }
 
-// LeavingEndpoints returns the incarnations that have said that they are draining.
-func (d *Dispatcher) LeavingEndpoints() []signal.Life {
+// DrainingEndpoints returns the incarnations that have said that they are draining.
+func (d *Dispatcher) DrainingEndpoints() []signal.Incarnation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.signals.Leaving()
+	return d.signals.DrainingIncarnations()
 }
 
 // WithheldError is returned by CheckSend for a request that must not be sent to the endpoint of its slot, because the
@@ -252,11 +254,11 @@
 	defer d.mu.Unlock()
 	by := ""
 	switch incarnationID := s.endpointState.incarnationID; {
-	case d.signals.Former(incarnationID):
+	case d.signals.Superseded(incarnationID):
 		by = "startedAgain"
-	case d.signals.Leaves(incarnationID):
+	case d.signals.Draining(incarnationID):
 		by = "leaving"
-	case d.clock.Now().Before(d.signals.Rest(incarnationID)):
+	case d.clock.Now().Before(d.signals.BackoffUntil(incarnationID)):
 		by = "rest"
 	case d.evacuated[s.Endpoint.Hall]:
 		by = "evacuated"
--- a/internal/traffic/signals_property_test.go
+++ b/internal/traffic/signals_property_test.go
@@ -30,7 +30,7 @@
 	*Dispatcher
 	clock   *clockwork.FakeClock
 	hasRoom bool
-	said    map[signal.Life]*reported
+	said    map[signal.Incarnation]*reported
 	// published are the endpoints of the current view, and unsent the granted slots whose requests were not sent yet.
 	published []view.Endpoint
 	unsent    []*Slot
@@ -41,9 +41,9 @@
 }
 
 func newSimulation() *simulation {
-	p := &simulation{clock: clockwork.NewFakeClock(), said: make(map[signal.Life]*reported), checksSend: true, hasRoom: true}
+	p := &simulation{clock: clockwork.NewFakeClock(), said: make(map[signal.Incarnation]*reported), checksSend: true, hasRoom: true}
 	p.Dispatcher = New(p.clock, "h", queue.Limits{Items: 10, Bytes: 1000}, Hooks{
-		Waiting: func() {}, Leaving: func(string) {},
+		QueueStarted: func() {}, Draining: func(string) {},
 		Charge: func(context.Context, view.Endpoint, float64) time.Duration {
 			if p.hasRoom {
 				return 0
@@ -54,7 +54,7 @@
 	return p
 }
 
-func (p *simulation) reportOf(l signal.Life) *reported {
+func (p *simulation) reportOf(l signal.Incarnation) *reported {
 	if p.said[l] == nil {
 		p.said[l] = &reported{}
 	}
@@ -77,7 +77,7 @@
 		}
 	}
 	if p.resetsOnView {
-		p.signals = signal.NewBook()
+		p.signals = signal.NewRegistry()
 		p.endpointStates = make(map[string]*endpointState)
 	}
 	p.Update(&view.View{Endpoints: map[string][]view.Endpoint{limitedPool: p.published}}, nil)
@@ -95,13 +95,13 @@
 		return
 	}
 	o, now := p.reportOf(incarnationOf(&e)), p.clock.Now()
-	said := signal.Said{Ran: true}
+	said := signal.Signals{Ran: true}
 	switch rapid.IntRange(0, 4).Draw(t, "what") {
 	case 0:
-		said.Leaving, o.draining = true, true
+		said.Draining, o.draining = true, true
 	case 1:
-		said.Rest, said.Ran = time.Duration(rapid.IntRange(1, 4000).Draw(t, "restMs"))*time.Millisecond, false
-		if until := now.Add(said.Rest); until.After(o.backoffUntil) {
+		said.Backoff, said.Ran = time.Duration(rapid.IntRange(1, 4000).Draw(t, "restMs"))*time.Millisecond, false
+		if until := now.Add(said.Backoff); until.After(o.backoffUntil) {
 			o.backoffUntil = until
 		}
 	case 2:
@@ -110,10 +110,10 @@
 	default:
 		o.limit = 0
 	}
-	o.any = o.any || said.Leaving || said.Rest > 0 || said.Limit > 0 || p.known(incarnationOf(&e))
-	p.Hear(e, said, now)
-	if ep := p.endpointStates[e.Name]; p.lastBackoffWins && ep != nil && said.Rest > 0 {
-		ep.backoffUntil = now.Add(said.Rest)
+	o.any = o.any || said.Draining || said.Backoff > 0 || said.Limit > 0 || p.known(incarnationOf(&e))
+	p.ObserveSignals(e, said, now)
+	if ep := p.endpointStates[e.Name]; p.lastBackoffWins && ep != nil && said.Backoff > 0 {
+		ep.backoffUntil = now.Add(said.Backoff)
 	}
 }
 
@@ -162,27 +162,27 @@
 
 // mergeSignal merges a signal that another node received, possibly from a later incarnation than the published one.
 func (p *simulation) mergeSignal(t *rapid.T) {
-	l := signal.Life{Endpoint: rapid.SampledFrom([]string{"i-1", "i-2"}).Draw(t, "endpoint"), Start: int64(rapid.IntRange(1, 4).Draw(t, "start"))}
+	l := signal.Incarnation{Endpoint: rapid.SampledFrom([]string{"i-1", "i-2"}).Draw(t, "endpoint"), Start: int64(rapid.IntRange(1, 4).Draw(t, "start"))}
 	p.clock.Advance(time.Millisecond)
-	w := signal.Word{Life: l, Leaving: rapid.Bool().Draw(t, "leaves"), At: p.clock.Now()}
+	w := signal.Report{Incarnation: l, Draining: rapid.Bool().Draw(t, "leaves"), At: p.clock.Now()}
 	if p.superseded(l) {
-		p.MergeSignals([]signal.Word{w})
+		p.MergeSignals([]signal.Report{w})
 		return
 	}
 	o := p.reportOf(l)
 	o.any = true
-	o.draining = o.draining || w.Leaving
+	o.draining = o.draining || w.Draining
 	if o.limit == 0 {
 		w.Limit = float64(rapid.IntRange(0, 3).Draw(t, "limit"))
 		o.limit = w.Limit
 	} else {
 		w.Limit = o.limit
 	}
-	p.MergeSignals([]signal.Word{w})
+	p.MergeSignals([]signal.Report{w})
 }
 
 // superseded reports whether signals of a later incarnation of the endpoint are on record.
-func (p *simulation) superseded(l signal.Life) bool {
+func (p *simulation) superseded(l signal.Incarnation) bool {
 	for o := range p.said {
 		if o.Endpoint == l.Endpoint && o.Start > l.Start && p.said[o].any {
 			return true
@@ -192,7 +192,7 @@
 }
 
 // known reports whether signals of any incarnation of the endpoint are on record.
-func (p *simulation) known(l signal.Life) bool {
+func (p *simulation) known(l signal.Incarnation) bool {
 	for o, s := range p.said {
 		if o.Endpoint == l.Endpoint && s.any {
 			return true
--- a/internal/traffic/signals_test.go
+++ b/internal/traffic/signals_test.go
@@ -31,7 +31,7 @@
 func newLimitedPoolSetup(endpoints ...string) *limitedPoolSetup {
 	s := &limitedPoolSetup{clock: clockwork.NewFakeClock(), charged: make(map[string]int)}
 	s.Dispatcher = New(s.clock, "h", queue.Limits{Items: 10, Bytes: 1000}, Hooks{
-		Waiting: func() {}, Leaving: func(string) {},
+		QueueStarted: func() {}, Draining: func(string) {},
 		Charge: func(_ context.Context, e view.Endpoint, _ float64) time.Duration {
 			s.charged[e.Name]++
 			return s.after
@@ -57,7 +57,7 @@
 // setLimit records an answer in which the endpoint reports a rate limit; 0 for none.
 func (s *limitedPoolSetup) setLimit(endpoint string, limit float64) {
 	s.clock.Advance(time.Millisecond)
-	s.Hear(limitedEndpoint(endpoint), signal.Said{Limit: limit, Ran: true}, s.clock.Now())
+	s.ObserveSignals(limitedEndpoint(endpoint), signal.Signals{Limit: limit, Ran: true}, s.clock.Now())
 }
 
 func (s *limitedPoolSetup) newRequest(within time.Duration) SlotRequest {
@@ -177,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Hear(limitedEndpoint("i-1"), signal.Said{Leaving: true, Ran: true}, s.clock.Now())
+	s.ObserveSignals(limitedEndpoint("i-1"), signal.Signals{Draining: true, Ran: true}, s.clock.Now())
 	if err := s.CheckSend(slot); err == nil {
 		t.Error("CheckSend allows a request that got its slot before")
 	}
@@ -202,7 +202,7 @@
 func TestBackoffIsKept(t *testing.T) {
 	s := newLimitedPoolSetup("i-1")
 	turnAway := func(rest time.Duration) {
-		s.Hear(limitedEndpoint("i-1"), signal.Said{Rest: rest}, s.clock.Now())
+		s.ObserveSignals(limitedEndpoint("i-1"), signal.Signals{Backoff: rest}, s.clock.Now())
 	}
 	slot, err := s.Acquire(t.Context(), limitedPool, s.newRequest(9*time.Second))
 	if err != nil {
@@ -239,7 +239,7 @@
 // TestBackoffSendsElsewhere checks that another endpoint gets the requests during a backoff.
 func TestBackoffSendsElsewhere(t *testing.T) {
 	s := newLimitedPoolSetup("i-1", "i-2")
-	s.Hear(limitedEndpoint("i-1"), signal.Said{Rest: time.Second}, s.clock.Now())
+	s.ObserveSignals(limitedEndpoint("i-1"), signal.Signals{Backoff: time.Second}, s.clock.Now())
 	got := make(map[string]int)
 	for range 4 {
 		slot, err := s.Acquire(t.Context(), limitedPool, s.newRequest(time.Second))
--- a/internal/traffic/slot.go
+++ b/internal/traffic/slot.go
@@ -103,12 +103,12 @@
 	Ended bool
 	// Silent is true when the endpoint could not be reached or sent nothing in time.
 	Silent bool
-	// Missing is true when the engine does not hold the model of the request.
+	// ModelMissing is true when the engine does not hold the model of the request.
 	Missing bool
 	// Running is the load that the endpoint reported, in running requests; negative if it reported none.
 	Running int
-	// Leaving is true when the endpoint said that it is draining and takes no new requests.
-	Leaving bool
+	// Draining is true when the endpoint said that it is draining and takes no new requests.
+	Draining bool
 }
 
 // GrantedAt returns when the slot was granted.
--- a/internal/traffic/usage.go
+++ b/internal/traffic/usage.go
@@ -23,7 +23,7 @@
 
 // Totals sums up the state of all pools of this node, for the status page.
 type Totals struct {
-	// Waiting and Running count requests. WaitingBytes is the memory that the waiting ones hold.
+	// QueueStarted and Running count requests. WaitingBytes is the memory that the waiting ones hold.
 	Waiting      int   `json:"waiting"`
 	Running      int   `json:"running"`
 	WaitingBytes int64 `json:"waitingBytes"`
@@ -32,10 +32,10 @@
 	RetryReserve float64 `json:"retryReserve"`
 	// Limited holds the rate limits that endpoints reported, in requests a second by name.
 	Limited map[string]float64 `json:"limitedEndpoints"`
-	// Leaving names the draining endpoints. Resting holds the time left, in milliseconds by name, of the backoffs
+	// Draining names the draining endpoints. Resting holds the time left, in milliseconds by name, of the backoffs
 	// that endpoints asked of this node.
-	Leaving []string         `json:"leavingEndpoints"`
-	Resting map[string]int64 `json:"restingEndpoints"`
+	Draining []string         `json:"leavingEndpoints"`
+	Backoffs map[string]int64 `json:"restingEndpoints"`
 	// HeldByLimit counts how often a request lost its slot because the endpoint's rate limit had no capacity.
 	// Withheld counts the requests that CheckSend withheld, by WithheldError.By.
 	HeldByLimit int64            `json:"heldByLimit"`
@@ -46,9 +46,9 @@
 func (d *Dispatcher) Totals() Totals {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t := Totals{RetryReserve: d.retries.Reserve, Limited: d.signals.Limits(), Resting: d.signals.Resting(d.clock.Now()), HeldByLimit: d.heldByLimit, Withheld: maps.Clone(d.withheld)}
-	for _, l := range d.signals.Leaving() {
-		t.Leaving = append(t.Leaving, l.Endpoint)
+	t := Totals{RetryReserve: d.retries.Reserve, Limited: d.signals.Limits(), Backoffs: d.signals.Backoffs(d.clock.Now()), HeldByLimit: d.heldByLimit, Withheld: maps.Clone(d.withheld)}
+	for _, l := range d.signals.DrainingIncarnations() {
+		t.Draining = append(t.Draining, l.Endpoint)
 	}
 	for _, p := range d.pools {
 		t.Waiting += p.queue.Len()
@@ -61,7 +61,7 @@
 // Usage is a pool's demand in the form that model placement needs.
 type Usage struct {
 	Pool string
-	// Waiting counts queued requests, and Arrivals first attempts since the last call.
+	// QueueStarted counts queued requests, and Arrivals first attempts since the last call.
 	Waiting  int
 	Arrivals int
 	// SentAway counts the requests refused with a retry hint since the last call.
--- a/internal/traffic/wait.go
+++ b/internal/traffic/wait.go
@@ -95,7 +95,7 @@
 func (p *pool) checkDeadline(req *SlotRequest, ahead int, now time.Time) error {
 	if at, ok := p.availableAt(ahead, now); ok && at.After(req.waitDeadline()) {
 		return refusal.New(refusal.CannotMakeDeadline, "the endpoints of %s accept no requests for another %s, until after the caller gives up",
-			p.name, at.Sub(now).Round(time.Millisecond)).After(p.retryAfter(at, req, now))
+			p.name, at.Sub(now).Round(time.Millisecond)).WithRetryAfter(p.retryAfter(at, req, now))
 	}
 	if len(p.endpoints) == 0 && p.outsideRegions {
 		return refusal.New(refusal.NoEndpoint, "no endpoint of %s is in a region that may serve the request", p.name)
@@ -105,7 +105,7 @@
 	}
 	delay := min(p.readyAt.Sub(now)+retryMargin, req.Deadline.Sub(now)/retryTimeDivisor)
 	return refusal.New(refusal.CannotMakeDeadline, "%s is predicted to be ready in %s, after the caller gives up",
-		p.name, p.readyAt.Sub(now).Round(time.Millisecond)).After(delay)
+		p.name, p.readyAt.Sub(now).Round(time.Millisecond)).WithRetryAfter(delay)
 }
 
 // recordForecast stores the predicted ready time in the queued requests that have none yet.
