--- a/io/caller/attempts.go
+++ b/io/caller/attempts.go
@@ -30,7 +30,7 @@
 	defer func() {
 		if x.trial {
 			// The trial may have ended without an attempt, because no slot was found.
-			s.Isolation.TrialOver(x.Fingerprint)
+			s.Isolation.EndTrial(x.Fingerprint)
 		}
 	}()
 	var n tries
@@ -61,7 +61,7 @@
 		}
 		step := retry.Next(retry.Attempt{
 			Outcome: outcome, OnceOnly: x.Target.OnceOnly, Ran: n.ran, Attempts: x.Target.attempts(),
-			Late: s.Clock.Now().After(x.Deadline), Left: ctx.Err() != nil, Held: s.Isolation.State(x.Fingerprint) == quarantine.Quarantined,
+			Late: s.Clock.Now().After(x.Deadline), CallerGone: ctx.Err() != nil, Withheld: s.Isolation.State(x.Fingerprint) == quarantine.Quarantined,
 		})
 		if step != retry.Repeat {
 			return s.refusalFor(step, x, err)
@@ -105,7 +105,7 @@
 	}
 	unlock = func(bool) {}
 	if !x.trial {
-		unlock, err = s.Isolation.Turn(ctx, x.Fingerprint)
+		unlock, err = s.Isolation.AcquireRun(ctx, x.Fingerprint)
 	}
 	if err == nil {
 		if err = x.checkKey(); err != nil {
@@ -127,15 +127,15 @@
 		// Whether the answer was a good one was reported when it was read.
 		run.Answered(false)
 	case !errors.As(err, &e), errors.Is(e.Cause, errStalled):
-		run.Left()
+		run.Abandoned()
 	case e.Refused, e.Answered:
 		run.Answered(false)
 	case e.Outcome == retry.NotSent:
 		run.NotSent()
-	case e.Broke:
-		return run.Broke(ctx)
+	case e.ConnectionBroken:
+		return run.ConnectionBroke(ctx)
 	default:
-		run.Left()
+		run.Abandoned()
 	}
 	return false
 }
@@ -160,12 +160,12 @@
 // abandonAt returns when the caller gives up if it receives no event; zero if it waits until its deadline.
 func (s *Server) abandonAt(x *Exchange) time.Time {
 	switch {
-	case x.Target.Patience <= 0:
+	case x.Target.FirstEventTimeout <= 0:
 		return time.Time{}
 	case x.Began:
-		return s.Clock.Now().Add(x.Target.Patience)
+		return s.Clock.Now().Add(x.Target.FirstEventTimeout)
 	}
-	return x.Start.Add(x.Target.Patience)
+	return x.Start.Add(x.Target.FirstEventTimeout)
 }
 
 // logAttempt records an attempt in the exchange and logs it if it failed. n is the number of the attempt, from 1.
@@ -193,7 +193,7 @@
 	case retry.NotBegun:
 		return refusal.New(refusal.NoEndpoint, "no endpoint of %s took the request: %v", x.Target.Pool, err)
 	case retry.Withheld:
-		if held := s.Isolation.Held(x.Fingerprint); held != nil {
+		if held := s.Isolation.Blocked(x.Fingerprint); held != nil {
 			return held
 		}
 		return refusal.New(refusal.NoEndpoint, "no endpoint of %s took the request: %v", x.Target.Pool, err)
@@ -232,13 +232,13 @@
 	r := traffic.Result{Err: err, Running: -1}
 	var e *endpoint.Error
 	if errors.As(err, &e) {
-		r.Full, r.Missing, r.Leaving = e.Full, e.Missing, e.Gone
+		r.Full, r.Missing, r.Draining = e.Full, e.Missing, e.Replaced
 		if e.Withheld {
 			// The request was withheld on this side, which says nothing about the endpoint.
 			r.Err, r.NotStarted = nil, true
 			return r
 		}
-		r.Silent = e.Unreached || errors.Is(e.Cause, errStalled)
+		r.Silent = e.ConnectFailed || errors.Is(e.Cause, errStalled)
 		if e.Outcome == retry.NotSent && e.Refused {
 			// The endpoint is healthy and only refused to start this request.
 			r.Err = nil
--- a/io/caller/caller_test.go
+++ b/io/caller/caller_test.go
@@ -40,7 +40,7 @@
 	})
 	clock := clockwork.NewRealClock()
 	vw := &view.View{Ready: ready, Catalog: cfg}
-	d := traffic.New(clock, "h", queue.Limits{Items: 10, Bytes: 1000}, traffic.Hooks{Waiting: func() {}, Leaving: func(string) {}})
+	d := traffic.New(clock, "h", queue.Limits{Items: 10, Bytes: 1000}, traffic.Hooks{QueueStarted: func() {}, Draining: func(string) {}})
 	return &Server{
 		Clock: clock, Logger: hclog.NewNullLogger(), Dispatcher: d, Endpoints: endpoint.NewClient(), Metrics: NewMetrics(),
 		Limits:   Limits{BodyBytes: 200, AnswerBytes: 1000, DefaultTimeout: time.Second, MaxTimeout: time.Minute, ReadTimeout: time.Second},
--- a/io/caller/charge.go
+++ b/io/caller/charge.go
@@ -13,9 +13,9 @@
 type Limiter interface {
 	// Charge charges need units to the customer and decides whether the request may run.
 	Charge(ctx context.Context, of *customer.Customer, need float64) quota.Decision
-	// GiveBack refunds an amount that was charged to the named customer at the given time, for a request that did not
+	// Refund refunds an amount that was charged to the named customer at the given time, for a request that did not
 	// run.
-	GiveBack(name string, amount float64, charged time.Time)
+	Refund(name string, amount float64, charged time.Time)
 }
 
 // charge charges the request to its customer's rate limit before it acquires a slot, so that requests over the limit
@@ -32,7 +32,7 @@
 		}
 		err := next(ctx, x)
 		if err != nil && refusal.As(err).NotRun() {
-			s.Limiter.GiveBack(c.Name, need, charged)
+			s.Limiter.Refund(c.Name, need, charged)
 		}
 		return err
 	}
@@ -41,10 +41,10 @@
 // overLimit converts a decision to a refusal, or nil if the request may run.
 func overLimit(c *customer.Customer, need float64, d quota.Decision) error {
 	switch d.Step {
-	case quota.Pass:
+	case quota.Admitted:
 		return nil
-	case quota.Over:
-		return refusal.New(refusal.RateExceeded, "customer %s is limited to %g a second over all nodes; this request costs %g", c.Name, c.Limit.Rate, need).After(max(time.Millisecond, d.After))
+	case quota.OverLimit:
+		return refusal.New(refusal.RateExceeded, "customer %s is limited to %g a second over all nodes; this request costs %g", c.Name, c.Limit.Rate, need).WithRetryAfter(max(time.Millisecond, d.RetryAfter))
 	}
-	return refusal.New(refusal.LimitUnknown, "this node does not know how much of the limit of customer %s is left", c.Name).After(d.After)
+	return refusal.New(refusal.LimitUnknown, "this node does not know how much of the limit of customer %s is left", c.Name).WithRetryAfter(d.RetryAfter)
 }
--- a/io/caller/dispatch.go
+++ b/io/caller/dispatch.go
@@ -53,7 +53,7 @@
 
 // dispatchOnce runs a request at most once per request key and returns the stored answer to a repeat of it.
 func (s *Server) dispatchOnce(ctx context.Context, x *Exchange) error {
-	if err := s.Isolation.Held(x.Fingerprint); err != nil {
+	if err := s.Isolation.Blocked(x.Fingerprint); err != nil {
 		// Refused before its key is claimed, so that the caller may use the key again.
 		return err
 	}
@@ -135,7 +135,7 @@
 			return failedResult(err), err
 		}
 		run.Answered(got.status/100 == 2 && resp.Framed())
-		return traffic.Result{Running: resp.Running, Leaving: resp.Leaving}, nil
+		return traffic.Result{Running: resp.Running, Draining: resp.Draining}, nil
 	})
 	if got != nil {
 		// The endpoint's own failure answer tells the caller more than a refusal by this node.
@@ -194,5 +194,5 @@
 	case x.trial:
 		return nil
 	}
-	return s.Isolation.Held(x.Fingerprint)
+	return s.Isolation.Blocked(x.Fingerprint)
 }
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -45,8 +45,8 @@
 	Customer *customer.Customer
 	// Keyed is true if the configuration has customers. Their keys are not forwarded to endpoints then.
 	Keyed bool
-	// Good checks the customer's key again and returns why it is no longer valid; nil if there is no key.
-	Good func() error
+	// KeyCheck checks the customer's key again and returns why it is no longer valid; nil if there is no key.
+	KeyCheck func() error
 	// Allowed is the time that the caller allows for the answer; 0 if it did not say.
 	Allowed time.Duration
 	// Deadline is when the caller must have its answer or refusal.
@@ -73,10 +73,10 @@
 
 // checkKey returns why the customer's key is no longer valid, or nil.
 func (x *Exchange) checkKey() error {
-	if x.Good == nil {
+	if x.KeyCheck == nil {
 		return nil
 	}
-	return x.Good()
+	return x.KeyCheck()
 }
 
 // Progress is what has happened to a request so far.
@@ -124,8 +124,8 @@
 	Objective time.Duration
 	// Pause is the objective for the time between two events of a stream; 0 for none.
 	Pause time.Duration
-	// Patience is how long the caller of a stream waits for the first event; 0 if it waits until its deadline.
-	Patience time.Duration
+	// FirstEventTimeout is how long the caller of a stream waits for the first event; 0 if it waits until its deadline.
+	FirstEventTimeout time.Duration
 	// Budget names the retry budget; "" selects that of the pool.
 	Budget string
 	// Affinity is equal for requests whose prompts share a prefix; 0 for none.
--- a/io/caller/refuse.go
+++ b/io/caller/refuse.go
@@ -31,7 +31,7 @@
 func problemOf(e *refusal.Error, id string) Problem {
 	return Problem{
 		Type: problemType + string(e.Kind), Title: string(e.Kind), Status: e.Status(), Detail: e.Detail,
-		NotRun: e.NotRun(), Remedy: e.Remedy(), RetryAfterMs: e.Hint().Milliseconds(), RequestID: id,
+		NotRun: e.NotRun(), Remedy: e.Remedy(), RetryAfterMs: e.RetryHint().Milliseconds(), RequestID: id,
 	}
 }
 
@@ -50,8 +50,8 @@
 		e := refusal.As(err)
 		s.Metrics.Refused.Add(string(e.Kind), 1)
 		s.Logger.Info("refused", append(x.logArgs(), "kind", string(e.Kind), "detail", e.Detail, "notRun", e.NotRun(),
-			"retryAfterMs", e.Hint().Milliseconds(), "began", x.Began, "allowedMs", x.Allowed.Milliseconds(),
-			"patienceMs", x.Target.Patience.Milliseconds(), "tookMs", took.Milliseconds())...)
+			"retryAfterMs", e.RetryHint().Milliseconds(), "began", x.Began, "allowedMs", x.Allowed.Milliseconds(),
+			"patienceMs", x.Target.FirstEventTimeout.Milliseconds(), "tookMs", took.Milliseconds())...)
 		s.protocol().Refuse(x, e)
 		return nil
 	}
@@ -81,7 +81,7 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
 	h.Set(HeaderNotRun, strconv.FormatBool(e.NotRun()))
-	if hint := e.Hint(); hint > 0 {
+	if hint := e.RetryHint(); hint > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(hint.Seconds()))))
 	}
 	w.WriteHeader(e.Status())
--- a/io/caller/send.go
+++ b/io/caller/send.go
@@ -26,13 +26,13 @@
 }
 
 // recordSignals records the signals in an answer and logs what they change. sent is when the request was sent.
-func (s *Server) recordSignals(x *Exchange, slot *traffic.Slot, said signal.Said, sent time.Time) {
-	c := s.Dispatcher.Hear(slot.Endpoint, said, sent)
-	for _, d := range c.Damaged {
+func (s *Server) recordSignals(x *Exchange, slot *traffic.Slot, said signal.Signals, sent time.Time) {
+	c := s.Dispatcher.ObserveSignals(slot.Endpoint, said, sent)
+	for _, d := range c.Malformed {
 		s.Metrics.DamagedSignals.Add(1)
 		s.Logger.Warn("ignored an invalid endpoint signal", "endpoint", slot.Endpoint.Name, "born", slot.Endpoint.Start, "requestId", x.ID, "error", d.Error())
 	}
-	if !c.News() {
+	if !c.Changed() {
 		return
 	}
 	s.Metrics.Signals.Add(1)
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -114,8 +114,8 @@
 	return s.http.Shutdown(ctx)
 }
 
-// CutOff cancels all requests in progress. Those whose answer has not begun are refused.
-func (s *Server) CutOff() {
+// CancelRequests cancels all requests in progress. Those whose answer has not begun are refused.
+func (s *Server) CancelRequests() {
 	s.initOnce.Do(s.init)
 	s.cancelRequests()
 }
--- a/io/caller/stream.go
+++ b/io/caller/stream.go
@@ -74,7 +74,7 @@
 		}
 		defer resp.Body.Close()
 		run.Began()
-		result := traffic.Result{Running: resp.Running, Leaving: resp.Leaving}
+		result := traffic.Result{Running: resp.Running, Draining: resp.Draining}
 		if resp.StatusCode != http.StatusOK {
 			return r.relayError(resp, result)
 		}
@@ -86,7 +86,7 @@
 			err = st.withStallCause(resp.BrokenError(err))
 			if callerCtx.Err() != nil || r.callerGone {
 				// The caller has disconnected, which is no failure of the endpoint.
-				run.Left()
+				run.Abandoned()
 				return result, err
 			}
 			return failedResult(err), err
--- a/io/endpoint/endpoint.go
+++ b/io/endpoint/endpoint.go
@@ -75,20 +75,20 @@
 	Full bool
 	// Missing is true when the engine does not hold the model of the request.
 	Missing bool
-	// Unreached is true when no connection was made.
-	Unreached bool
-	// Broke is true when the endpoint's side broke the connection.
-	Broke bool
+	// ConnectFailed is true when no connection was made.
+	ConnectFailed bool
+	// ConnectionBroken is true when the endpoint's side broke the connection.
+	ConnectionBroken bool
 	// Withheld is true when Request.Check withheld the request before any of it was written.
 	Withheld bool
-	// Gone is true when another endpoint now has the address.
-	Gone bool
+	// Replaced is true when another endpoint now has the address.
+	Replaced bool
 	// Answered is true when the endpoint gave a complete answer that counts as a failure, such as a server error.
 	Answered bool
 	// Sends counts the connections on which the transport began to write the request; 0 if none.
 	Sends int
 	// Said holds the signals in the endpoint's answer.
-	Said signal.Said
+	Said signal.Signals
 	// Cause is the underlying error.
 	Cause error
 }
@@ -104,17 +104,17 @@
 	*http.Response
 	// Running is the load that the endpoint reported, in running requests; -1 if it reported none.
 	Running int
-	// Leaving is true when the endpoint said that it is draining.
-	Leaving bool
+	// Draining is true when the endpoint said that it is draining.
+	Draining bool
 	// Sends counts the connections on which the transport began to write the request.
 	Sends int
 	// Said holds the signals in the answer.
-	Said signal.Said
+	Said signal.Signals
 }
 
 // BrokenError returns the error for an answer whose body could not be read to its end because of cause.
 func (r *Response) BrokenError(cause error) *Error {
-	return &Error{Outcome: retry.Ran, Broke: brokenByPeer(cause), Sends: r.Sends, Cause: cause}
+	return &Error{Outcome: retry.Ran, ConnectionBroken: brokenByPeer(cause), Sends: r.Sends, Cause: cause}
 }
 
 // Framed reports whether the end of the answer is marked, by a length or chunked encoding, so that a truncated answer
@@ -136,25 +136,25 @@
 	return true
 }
 
-// Verdict is what the head of an answer says apart from its status.
-type Verdict struct {
-	// NotBegun is true when the endpoint says that it did not start the request.
-	NotBegun bool
+// ResponseInfo is what the head of an answer says apart from its status.
+type ResponseInfo struct {
+	// NotStarted is true when the endpoint says that it did not start the request.
+	NotStarted bool
 	// Full, Missing and Gone are as in Error.
-	Full, Missing, Gone bool
-	// Foreign is true when the answer belongs to another request.
-	Foreign bool
+	Full, Missing, Replaced bool
+	// Mismatched is true when the answer belongs to another request.
+	Mismatched bool
 	// Running is the load that the endpoint reported, in running requests; -1 if it reported none.
 	Running int
-	// Leaving is true when the endpoint said that it is draining.
-	Leaving bool
+	// Draining is true when the endpoint said that it is draining.
+	Draining bool
 	// Said holds the signals in the answer; none if the answer is from another endpoint than the request was meant
 	// for.
-	Said signal.Said
+	Said signal.Signals
 }
 
 // Judge reads a Verdict from the head of the answer to r.
-type Judge func(r *Request, resp *http.Response) Verdict
+type Judge func(r *Request, resp *http.Response) ResponseInfo
 
 // Options configure a Client.
 type Options struct {
@@ -237,7 +237,7 @@
 		if why := context.Cause(ctx); Withheld(why) {
 			return nil, &Error{Outcome: retry.NotSent, Withheld: true, Cause: why}
 		}
-		return nil, &Error{Outcome: outcomeOf(n > 0), Unreached: n == 0, Broke: n > 0 && ctx.Err() == nil && brokenByPeer(err), Sends: n, Cause: err}
+		return nil, &Error{Outcome: outcomeOf(n > 0), ConnectFailed: n == 0, ConnectionBroken: n > 0 && ctx.Err() == nil && brokenByPeer(err), Sends: n, Cause: err}
 	}
 	answer, failure := c.classify(r, resp)
 	if failure != nil {
@@ -311,28 +311,28 @@
 func (c *Client) classify(req *Request, resp *http.Response) (*Response, *Error) {
 	v := c.judge(req, resp)
 	switch {
-	case v.Foreign:
+	case v.Mismatched:
 		resp.Body.Close()
 		return nil, &Error{Outcome: retry.MaybeRun, Cause: errMismatched}
-	case v.NotBegun:
+	case v.NotStarted:
 		text, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusalText))
 		if err != nil {
 			text = []byte(err.Error())
 		}
 		resp.Body.Close()
 		return nil, &Error{
-			Outcome: retry.NotSent, Refused: true, Full: v.Full, Missing: v.Missing, Gone: v.Gone, Said: v.Said,
+			Outcome: retry.NotSent, Refused: true, Full: v.Full, Missing: v.Missing, Replaced: v.Replaced, Said: v.Said,
 			Cause: eris.Errorf("the endpoint did not begin (%d): %s", resp.StatusCode, bytes.TrimSpace(text)),
 		}
 	}
-	return &Response{Response: resp, Running: v.Running, Leaving: v.Leaving, Said: v.Said}, nil
+	return &Response{Response: resp, Running: v.Running, Draining: v.Draining, Said: v.Said}, nil
 }
 
 // judgeDefault is the Judge of the default engine protocol.
-func judgeDefault(_ *Request, resp *http.Response) Verdict {
-	v := Verdict{
-		NotBegun: resp.Header.Get(HeaderNotRun) == "true", Full: resp.StatusCode == http.StatusTooManyRequests,
-		Running: -1, Leaving: resp.Header.Get(HeaderLeaving) == "true",
+func judgeDefault(_ *Request, resp *http.Response) ResponseInfo {
+	v := ResponseInfo{
+		NotStarted: resp.Header.Get(HeaderNotRun) == "true", Full: resp.StatusCode == http.StatusTooManyRequests,
+		Running: -1, Draining: resp.Header.Get(HeaderLeaving) == "true",
 	}
 	if n, err := strconv.Atoi(resp.Header.Get(HeaderRunning)); err == nil {
 		v.Running = n
--- a/io/instancelist/instancelist.go
+++ b/io/instancelist/instancelist.go
@@ -26,8 +26,8 @@
 	KindService Kind = "service"
 )
 
-// StateLeaving is the state of a draining instance, which takes no new requests.
-const StateLeaving = "leaving"
+// StateDraining is the state of a draining instance, which takes no new requests.
+const StateDraining = "leaving"
 
 // Instance is one entry of the list.
 type Instance struct {
@@ -72,11 +72,11 @@
 	return answer.Instances, nil
 }
 
-// SayLeaving announces to the platform that an instance is draining.
-func (c *Client) SayLeaving(ctx context.Context, id string) error {
+// AnnounceDraining announces to the platform that an instance is draining.
+func (c *Client) AnnounceDraining(ctx context.Context, id string) error {
 	body, err := json.Marshal(struct {
 		State string `json:"state"`
-	}{StateLeaving})
+	}{StateDraining})
 	if err != nil {
 		return eris.Wrap(err, "say leaving")
 	}
--- a/io/logservice/appender.go
+++ b/io/logservice/appender.go
@@ -99,8 +99,8 @@
 	return len(a.waiting)
 }
 
-// Quiet reports whether the log has confirmed every submitted record.
-func (a *Appender) Quiet() bool {
+// Idle reports whether the log has confirmed every submitted record.
+func (a *Appender) Idle() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.waiting) == 0 && !a.inFlight
--- a/io/operator/operator.go
+++ b/io/operator/operator.go
@@ -33,7 +33,7 @@
 type Control interface {
 	Propose(ctx context.Context, r *pb.Record, late func(ledger.Outcome)) (ledger.Outcome, error)
 	View() *view.View
-	Heard() time.Time
+	LastContact() time.Time
 	Changed() <-chan struct{}
 	Status(ctx context.Context) *pb.StatusResponse
 }
@@ -120,7 +120,7 @@
 	v := s.Control.View()
 	return &pb.GetConfigResponse{
 		Revision: v.Revision, Config: v.Catalog.Config,
-		AgeMs: s.Clock.Now().Sub(s.Control.Heard()).Milliseconds(),
+		AgeMs: s.Clock.Now().Sub(s.Control.LastContact()).Milliseconds(),
 	}
 }
 
--- a/io/peer/grant.go
+++ b/io/peer/grant.go
@@ -27,11 +27,11 @@
 	ErrBadLimit = errors.New("a grant request for an endpoint needs the endpoint's published limit, above 0, and no customer")
 )
 
-// CreditQuestion is a node's request to the lease holder for a grant from the limit of a customer or of an endpoint.
-type CreditQuestion struct {
+// GrantRequest is a node's request to the lease holder for a grant from the limit of a customer or of an endpoint.
+type GrantRequest struct {
 	Node string `json:"node"`
-	// Alone is true if the node has been spending its local share of the limit until now.
-	Alone bool `json:"alone,omitempty"`
+	// Partitioned is true if the node has been spending its local share of the limit until now.
+	Partitioned bool `json:"alone,omitempty"`
 	// Customer is the customer's name. If it and Endpoint are empty, the request only probes whether the holder answers.
 	Customer string `json:"customer,omitempty"`
 	// Endpoint names an endpoint that limits its request rate, Born is the start of its incarnation, and Limit is the
@@ -42,13 +42,13 @@
 	// Cold is true if Limit is the rate that the endpoint accepts while it is cold.
 	Cold bool `json:"cold,omitempty"`
 	// Need is the cost of one request, and Ahead the additional amount to prefetch, in the units of the limit.
-	Need  float64 `json:"need,omitempty"`
-	Ahead float64 `json:"ahead,omitempty"`
+	Need     float64 `json:"need,omitempty"`
+	Prefetch float64 `json:"ahead,omitempty"`
 }
 
 // Check returns ErrBadAmount or ErrBadLimit if the request is invalid.
-func (q *CreditQuestion) Check() error {
-	for _, x := range []float64{q.Need, q.Ahead} {
+func (q *GrantRequest) Check() error {
+	for _, x := range []float64{q.Need, q.Prefetch} {
 		if !(x >= 0) || math.IsInf(x, 0) {
 			return ErrBadAmount
 		}
@@ -59,10 +59,10 @@
 	return nil
 }
 
-// Credit is the lease holder's answer to a CreditQuestion.
-type Credit struct {
-	// Members is the number of nodes among which limits are divided.
-	Members int `json:"members"`
+// Grant is the lease holder's answer to a CreditQuestion.
+type Grant struct {
+	// Nodes is the number of nodes among which limits are divided.
+	Nodes int `json:"members"`
 	// Unknown is true if the holder's configuration has no such customer.
 	Unknown bool    `json:"unknown,omitempty"`
 	Granted float64 `json:"granted,omitempty"`
@@ -73,7 +73,7 @@
 // handleGrant serves grant requests of nodes.
 func handleGrant(h Holder) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var q CreditQuestion
+		var q GrantRequest
 		if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&q); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -91,9 +91,9 @@
 	}
 }
 
-// Credit sends a grant request to the lease holder at an address.
-func (c *Client) Credit(ctx context.Context, address string, q *CreditQuestion) (*Credit, error) {
-	var a Credit
+// Grant sends a grant request to the lease holder at an address.
+func (c *Client) RequestGrant(ctx context.Context, address string, q *GrantRequest) (*Grant, error) {
+	var a Grant
 	if err := c.post(ctx, grantTimeout, address+pathGrant, q, &a); err != nil {
 		return nil, err
 	}
--- a/io/peer/grant_test.go
+++ b/io/peer/grant_test.go
@@ -20,12 +20,12 @@
 	defer srv.Close()
 	address := strings.TrimPrefix(srv.URL, "http://")
 	c := NewClient(&net.Dialer{Timeout: time.Second})
-	q := &CreditQuestion{Node: "n", Alone: true, Customer: "c", Need: 1100, Ahead: 20.5}
-	ask := func() (*Credit, error) { return c.Credit(t.Context(), address, q) }
+	q := &GrantRequest{Node: "n", Partitioned: true, Customer: "c", Need: 1100, Prefetch: 20.5}
+	ask := func() (*Grant, error) { return c.RequestGrant(t.Context(), address, q) }
 	if _, err := answered(t, ask); !errors.Is(err, ErrNotHolder) {
 		t.Errorf("a node without the lease answered %v", err)
 	}
-	h.credit = &Credit{Members: 71, AfterMs: 120}
+	h.credit = &Grant{Nodes: 71, AfterMs: 120}
 	got, err := answered(t, ask)
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 
 // TestInvalidGrantRequests checks that grant requests that are malformed, too long or ask for invalid amounts get status 400.
 func TestInvalidGrantRequests(t *testing.T) {
-	h := &fakeHolder{credit: &Credit{}}
+	h := &fakeHolder{credit: &Grant{}}
 	srv := httptest.NewServer(Handler(h))
 	defer srv.Close()
 	for _, body := range []string{"", "{", `{"need":-1}`, `{"ahead":-0.5}`, `{"need":1e999}`, `{"need":"1"}`, strings.Repeat(" ", maxRequestBytes) + "{}"} {
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -3,7 +3,7 @@
 //
 // Each node posts a [Report] with its demand to the holder, and long-polls it for a [Snapshot] of what changed since
 // the last one that the node received. The holder answers the poll when something changes, or without changes after
-// [Question.Wait], which shows that the holder is running. So the holder learns of a waiting request, and the nodes of
+// [WatchRequest.Wait], which shows that the holder is running. So the holder learns of a waiting request, and the nodes of
 // a loaded model, within milliseconds; a lost message only adds delay and breaks no guarantee. In a large fleet the
 // holder sends snapshots only to some nodes, the feeders, which forward them to their followers (package feedtree). A
 // node that can reach neither the holder nor the store asks any other node who holds the lease. Further calls request
@@ -65,10 +65,10 @@
 // ErrNoHolder is returned if the called node does not know who holds the lease.
 var ErrNoHolder = errors.New("the node does not know who holds the lease; ask another node")
 
-// Use is a node's demand for one unit, which is named by its pool. Waiting counts the requests in the queue, Arrivals those
+// PoolUsage is a node's demand for one unit, which is named by its pool. Waiting counts the requests in the queue, Arrivals those
 // that came since the previous report, and SentAway those that were refused with a retry hint since then. RunningAt counts
 // the running requests by engine.
-type Use struct {
+type PoolUsage struct {
 	Pool     string `json:"pool"`
 	Waiting  int    `json:"waiting,omitempty"`
 	Arrivals int    `json:"arrivals,omitempty"`
@@ -97,23 +97,23 @@
 	Hall string `json:"hall,omitempty"`
 	// Strength compares machines by capacity: processor cores times link capacity in Mbit/s.
 	Strength float64 `json:"strength"`
-	// StoreAway is true if the node gets no answer from the store, Stopping once its planned stop has begun.
-	StoreAway bool `json:"storeAway,omitempty"`
-	Stopping  bool `json:"stopping,omitempty"`
-	// Alone is true while the node spends its local share of customers' limits instead of grants of the holder.
-	Alone  bool   `json:"alone,omitempty"`
-	Use    []Use  `json:"use"`
-	Misses []Miss `json:"misses,omitempty"`
-	// Suspects is the node's own evidence on requests suspected of crashing engines, if it changed.
+	// StoreUnreachable is true if the node gets no answer from the store, Stopping once its planned stop has begun.
+	StoreUnreachable bool `json:"storeAway,omitempty"`
+	Stopping         bool `json:"stopping,omitempty"`
+	// Partitioned is true while the node spends its local share of customers' limits instead of grants of the holder.
+	Partitioned bool        `json:"alone,omitempty"`
+	Use         []PoolUsage `json:"use"`
+	Misses      []Miss      `json:"misses,omitempty"`
+	// EncodeSuspects is the node's own evidence on requests suspected of crashing engines, if it changed.
 	Suspects []Suspect `json:"suspects,omitempty"`
-	// Signals are the endpoints' own signals that the node has observed, if they changed.
+	// EncodeSignals are the endpoints' own signals that the node has observed, if they changed.
 	Signals []Signal `json:"signals,omitempty"`
 }
 
 // Snapshot is the lease holder's answer to a watch request: a delta against the requester's version, or the full state.
 type Snapshot struct {
-	// Life identifies one term of a lease holder. Version rises within it.
-	Life    string `json:"life"`
+	// Term identifies one term of a lease holder. Version rises within it.
+	Term    string `json:"life"`
 	Fence   uint64 `json:"fence"`
 	Version uint64 `json:"version"`
 	// Nodes is the largest number of nodes, the holder included, that the holder has recently heard from.
@@ -122,43 +122,43 @@
 	Successor string `json:"successor,omitempty"`
 	// Peers are addresses of other nodes to ask for the holder once this one no longer answers, if they changed.
 	Peers []string `json:"peers,omitempty"`
-	// StoreDoubt is true while the holder gets no answer from the store. The nodes then try the store themselves
+	// StoreUnconfirmed is true while the holder gets no answer from the store. The nodes then try the store themselves
 	// and report whether they reach it.
-	StoreDoubt bool `json:"storeDoubt,omitempty"`
+	StoreUnconfirmed bool `json:"storeDoubt,omitempty"`
 	// Redirect is true if the holder does not send snapshots to the requester. The requester then asks one of Feeders,
 	// or the holder again if there are none.
 	Redirect bool `json:"redirect,omitempty"`
 	// Feeders are the nodes that forward snapshots to followers, if they changed; empty but not nil if there are none.
 	Feeders []feedtree.Node `json:"feeders,omitzero"`
-	// HolderMs is the age, in milliseconds, of the holder's state when a feeder forwarded it.
-	HolderMs int64 `json:"holderAgeMs,omitempty"`
+	// HolderAgeMs is the age, in milliseconds, of the holder's state when a feeder forwarded it.
+	HolderAgeMs int64 `json:"holderAgeMs,omitempty"`
 	// HeldMs is how long the watch request was kept open, in milliseconds.
 	HeldMs int64 `json:"heldMs"`
-	// Whole is true if the snapshot is full: Serving names every engine, not only the changed ones.
-	Whole bool `json:"whole,omitempty"`
+	// Full is true if the snapshot is full: Serving names every engine, not only the changed ones.
+	Full bool `json:"whole,omitempty"`
 	// Serving maps each engine to the pools that it can serve.
 	Serving map[string][]string `json:"serving,omitempty"`
-	// Gone lists the engines that the holder has removed.
-	Gone []string `json:"gone,omitempty"`
+	// Removed lists the engines that the holder has removed.
+	Removed []string `json:"gone,omitempty"`
 	// ReadyInMs maps the pool of each unit that no engine serves yet to the expected time until one does, in milliseconds.
 	ReadyInMs map[string]int64 `json:"readyInMs,omitempty"`
-	// Suspects are the shared entries of requests suspected of crashing engines that changed. SuspectsTo is the version that the requester has once it has merged them.
+	// EncodeSuspects are the shared entries of requests suspected of crashing engines that changed. SuspectsTo is the version that the requester has once it has merged them.
 	Suspects   []Suspect `json:"suspects,omitempty"`
 	SuspectsTo uint64    `json:"suspectsTo,omitempty"`
-	// Signals are the endpoints' own signals that changed. SignalsTo is the version that the requester has once it
+	// EncodeSignals are the endpoints' own signals that changed. SignalsTo is the version that the requester has once it
 	// has merged them.
 	Signals   []Signal `json:"signals,omitempty"`
 	SignalsTo uint64   `json:"signalsTo,omitempty"`
 	// VerdictsKnown is true once the holder has read the quarantine verdicts from the store.
 	VerdictsKnown bool `json:"verdictsKnown,omitempty"`
-	Feed
+	StoreState
 	// Shared repeats Serving and Instances of a full snapshot that many nodes receive in the same form, so that they are
 	// encoded once; nil if they are specific to this requester.
 	Shared *Shared `json:"-"`
 }
 
-// Feed is the state that the holder has read from the store, so that the other nodes need not read it.
-type Feed struct {
+// StoreState is the state that the holder has read from the store, so that the other nodes need not read it.
+type StoreState struct {
 	// AgeMs is the time since the holder last read the store to its end, in milliseconds.
 	AgeMs int64 `json:"feedAgeMs"`
 	// ConfigAgeMs is the longest time, in milliseconds, for which a configuration newer than the holder's may have
@@ -176,8 +176,8 @@
 	Instances []directory.Record `json:"instances,omitempty"`
 	// Evacuations is the set of data halls being evacuated, if it changed.
 	Evacuations *Evacuations `json:"evacuations,omitempty"`
-	// ListedTo is the version up to which the endpoint directory has been read.
-	ListedTo uint64 `json:"listedTo"`
+	// DirectoryVersion is the version up to which the endpoint directory has been read.
+	DirectoryVersion uint64 `json:"listedTo"`
 }
 
 // Evacuations is the set of data halls being evacuated, as of an offset of the operator topic.
@@ -192,10 +192,10 @@
 	Offset uint64       `json:"offset"`
 }
 
-// Question is a node's watch request to the lease holder or to a feeder.
-type Question struct {
+// WatchRequest is a node's watch request to the lease holder or to a feeder.
+type WatchRequest struct {
 	Node string
-	// Life and Version identify the latest snapshot that the node has received.
+	// Term and Version identify the latest snapshot that the node has received.
 	Life    string
 	Version uint64
 	// Config is the version of the configuration that the node has.
@@ -219,13 +219,13 @@
 	// Reported merges a node's report.
 	Reported(r *Report) error
 	// Watch returns what changed since the requester's snapshot, and waits up to Question.Wait for a change.
-	Watch(ctx context.Context, q Question) (*Snapshot, error)
+	Watch(ctx context.Context, q WatchRequest) (*Snapshot, error)
 	// LeaseMark returns the latest lease record that the node knows, or nil if it knows no holder.
 	LeaseMark() *LeaseMark
-	// Credit answers a request for a grant from the limit of a customer or of an endpoint.
-	Credit(q *CreditQuestion) (*Credit, error)
-	// Turn acquires or releases the lock under which copies of an isolated request run one at a time.
-	Turn(q *TurnQuestion) (*Turn, error)
+	// Grant answers a request for a grant from the limit of a customer or of an endpoint.
+	Credit(q *GrantRequest) (*Grant, error)
+	// RequestRunLock acquires or releases the lock under which copies of an isolated request run one at a time.
+	Turn(q *RunLockRequest) (*RunLock, error)
 	Exchanger
 }
 
@@ -333,7 +333,7 @@
 	return out.Bytes()
 }
 
-func (q Question) values() url.Values {
+func (q WatchRequest) values() url.Values {
 	return url.Values{
 		"node": {q.Node}, "life": {q.Life}, "version": {strconv.FormatUint(q.Version, 10)}, "config": {strconv.FormatInt(q.Config, 10)}, "suspects": {strconv.FormatUint(q.SuspectsTo, 10)},
 		"signals": {strconv.FormatUint(q.SignalsTo, 10)},
@@ -343,30 +343,30 @@
 	}
 }
 
-func parseWatchRequest(v url.Values) (Question, error) {
+func parseWatchRequest(v url.Values) (WatchRequest, error) {
 	version, err := strconv.ParseUint(v.Get("version"), 10, 64)
 	if err != nil {
-		return Question{}, fmt.Errorf("version: %w", err)
+		return WatchRequest{}, fmt.Errorf("version: %w", err)
 	}
 	config, err := strconv.ParseInt(v.Get("config"), 10, 64)
 	if err != nil {
-		return Question{}, fmt.Errorf("config: %w", err)
+		return WatchRequest{}, fmt.Errorf("config: %w", err)
 	}
 	suspects, err := parseVersion(v, "suspects")
 	if err != nil {
-		return Question{}, err
+		return WatchRequest{}, err
 	}
 	signals, err := parseVersion(v, "signals")
 	if err != nil {
-		return Question{}, err
+		return WatchRequest{}, err
 	}
 	wait, err := strconv.ParseInt(v.Get("waitMs"), 10, 64)
 	if err != nil {
-		return Question{}, fmt.Errorf("waitMs: %w", err)
+		return WatchRequest{}, fmt.Errorf("waitMs: %w", err)
 	}
 	// Nodes of the previous release send no strength.
 	strength, _ := strconv.ParseFloat(v.Get("strength"), 64)
-	return Question{
+	return WatchRequest{
 		Address: v.Get("address"), Hall: v.Get("hall"), Strength: max(0, strength), Feeder: v.Get("feeder") == "true", Orphan: v.Get("orphan") == "true",
 		Node: v.Get("node"), Life: v.Get("life"), Version: version, Config: config, SuspectsTo: suspects, SignalsTo: signals,
 		Wait: time.Duration(max(0, min(maxWait.Milliseconds(), wait))) * time.Millisecond,
@@ -418,7 +418,7 @@
 }
 
 // Watch requests from the holder or feeder at an address what changed since the snapshot that q names.
-func (c *Client) Watch(ctx context.Context, address string, q Question) (*Snapshot, error) {
+func (c *Client) Watch(ctx context.Context, address string, q WatchRequest) (*Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Wait+snapshotTimeout)
 	defer cancel()
 	// A long answer is aborted when it stalls, not when it takes long as a whole.
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -19,18 +19,18 @@
 
 // fakeHolder records what it receives and answers with preset messages.
 type fakeHolder struct {
-	turn      *Turn
-	turnAsked TurnQuestion
+	turn      *RunLock
+	turnAsked RunLockRequest
 	snapshot  *Snapshot
-	question  Question
+	question  WatchRequest
 	report    Report
 	mark      *LeaseMark
 	exchange  Exchange
-	asked     CreditQuestion
-	credit    *Credit
+	asked     GrantRequest
+	credit    *Grant
 }
 
-func (h *fakeHolder) Credit(q *CreditQuestion) (*Credit, error) {
+func (h *fakeHolder) Credit(q *GrantRequest) (*Grant, error) {
 	if h.credit == nil {
 		return nil, ErrNotHolder
 	}
@@ -38,7 +38,7 @@
 	return h.credit, nil
 }
 
-func (h *fakeHolder) Turn(q *TurnQuestion) (*Turn, error) {
+func (h *fakeHolder) Turn(q *RunLockRequest) (*RunLock, error) {
 	if h.turn == nil {
 		return nil, ErrNotHolder
 	}
@@ -55,7 +55,7 @@
 
 func (h *fakeHolder) Reported(r *Report) error { h.report = *r; return nil }
 
-func (h *fakeHolder) Watch(_ context.Context, q Question) (*Snapshot, error) {
+func (h *fakeHolder) Watch(_ context.Context, q WatchRequest) (*Snapshot, error) {
 	h.question = q
 	return h.snapshot, nil
 }
@@ -79,7 +79,7 @@
 
 // TestRoundTrip checks that messages survive the round trip, both short ones and those long enough to be compressed.
 func TestRoundTrip(t *testing.T) {
-	long := &Snapshot{Life: "a-1", Version: 3, Successor: "b", Whole: true, Serving: make(map[string][]string)}
+	long := &Snapshot{Term: "a-1", Version: 3, Successor: "b", Full: true, Serving: make(map[string][]string)}
 	for i := range 200 {
 		long.Serving[fmt.Sprint("engine", i)] = []string{"unit/s/m", "unit/s/m/a1"}
 	}
@@ -88,8 +88,8 @@
 	defer srv.Close()
 	address := strings.TrimPrefix(srv.URL, "http://")
 	c := NewClient(&net.Dialer{Timeout: time.Second})
-	question := Question{Node: "n", Life: "a-1", Version: 2, Config: 7, Wait: 250 * time.Millisecond}
-	for _, want := range []*Snapshot{{Life: "a-1", Version: 3}, long} {
+	question := WatchRequest{Node: "n", Life: "a-1", Version: 2, Config: 7, Wait: 250 * time.Millisecond}
+	for _, want := range []*Snapshot{{Term: "a-1", Version: 3}, long} {
 		h.snapshot = want
 		got, err := answered(t, func() (*Snapshot, error) { return c.Watch(t.Context(), address, question) })
 		if err != nil {
@@ -102,7 +102,7 @@
 	if diff := cmp.Diff(question, h.question); diff != "" {
 		t.Errorf("watch request (-want +got):\n%s", diff)
 	}
-	report := Report{Node: "n", Strength: 4, Use: []Use{{Pool: "unit/s/m", Waiting: 1, UrgentInMs: -3, LastInMs: 40}}}
+	report := Report{Node: "n", Strength: 4, Use: []PoolUsage{{Pool: "unit/s/m", Waiting: 1, UrgentInMs: -3, LastInMs: 40}}}
 	if _, err := answered(t, func() (any, error) { return nil, c.Report(t.Context(), address, &report) }); err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 	if _, err := answered(t, func() (*LeaseMark, error) { return c.Lease(t.Context(), address) }); !errors.Is(err, ErrNoHolder) {
 		t.Errorf("without a holder: %v, want %v", err, ErrNoHolder)
 	}
-	h.mark = &LeaseMark{Record: lease.Record{Holder: "a", Life: "a-1", Address: "127.0.0.1:1"}, Offset: 7}
+	h.mark = &LeaseMark{Record: lease.Record{Holder: "a", Incarnation: "a-1", Address: "127.0.0.1:1"}, Offset: 7}
 	got, err := answered(t, func() (*LeaseMark, error) { return c.Lease(t.Context(), address) })
 	if err != nil {
 		t.Fatal(err)
--- a/io/peer/quarantine.go
+++ b/io/peer/quarantine.go
@@ -13,17 +13,17 @@
 // Suspect is the evidence of a node against a request suspected of crashing engines. Times are sent as ages because
 // the clocks of nodes differ.
 type Suspect struct {
-	Request quarantine.Fingerprint `json:"request"`
-	Epoch   uint32                 `json:"epoch,omitempty"`
-	AgeMs   int64                  `json:"ageMs"`
-	Blames  []Blame                `json:"blames,omitempty"`
-	Verdict *Verdict               `json:"verdict,omitempty"`
+	Request    quarantine.Fingerprint `json:"request"`
+	Epoch      uint32                 `json:"epoch,omitempty"`
+	AgeMs      int64                  `json:"ageMs"`
+	Suspicions []Suspicion            `json:"blames,omitempty"`
+	Verdict    *Verdict               `json:"verdict,omitempty"`
 }
 
-// Blame is the suspicion that a request caused one engine crash. RanMs is how long the request ran, and Begun is true
+// Suspicion is the suspicion that a request caused one engine crash. RanMs is how long the request ran, and Begun is true
 // if its answer had begun.
-type Blame struct {
-	quarantine.EndID
+type Suspicion struct {
+	quarantine.CrashID
 	RanMs int64 `json:"ranMs"`
 	Begun bool  `json:"begun,omitempty"`
 	AgeMs int64 `json:"ageMs"`
@@ -35,14 +35,14 @@
 	Trials int   `json:"trials,omitempty"`
 }
 
-// Suspects encodes registry entries, with ages relative to now.
-func Suspects(entries []quarantine.Entry, now time.Time) []Suspect {
+// EncodeSuspects encodes registry entries, with ages relative to now.
+func EncodeSuspects(entries []quarantine.Entry, now time.Time) []Suspect {
 	out := make([]Suspect, 0, len(entries))
 	for i := range entries {
 		e := &entries[i]
 		s := Suspect{Request: e.Request, Epoch: e.Epoch, AgeMs: now.Sub(e.At).Milliseconds()}
-		for _, b := range e.Blames {
-			s.Blames = append(s.Blames, Blame{EndID: b.End, RanMs: b.Ran.Milliseconds(), Begun: b.Begun, AgeMs: now.Sub(b.At).Milliseconds()})
+		for _, b := range e.Suspicions {
+			s.Suspicions = append(s.Suspicions, Suspicion{CrashID: b.End, RanMs: b.Elapsed.Milliseconds(), Begun: b.Begun, AgeMs: now.Sub(b.At).Milliseconds()})
 		}
 		if e.Verdict != nil {
 			s.Verdict = &Verdict{AgeMs: now.Sub(e.Verdict.At).Milliseconds(), Trials: e.Verdict.Trials}
@@ -52,14 +52,14 @@
 	return out
 }
 
-// Entries decodes suspects received at now.
-func Entries(suspects []Suspect, now time.Time) []quarantine.Entry {
+// DecodeSuspects decodes suspects received at now.
+func DecodeSuspects(suspects []Suspect, now time.Time) []quarantine.Entry {
 	out := make([]quarantine.Entry, 0, len(suspects))
 	for i := range suspects {
 		s := &suspects[i]
 		e := quarantine.Entry{Request: s.Request, Epoch: s.Epoch, At: timeFromAge(now, s.AgeMs)}
-		for _, b := range s.Blames {
-			e.Blames = append(e.Blames, quarantine.Blame{End: b.EndID, Ran: clampMs(b.RanMs), Begun: b.Begun, At: timeFromAge(now, b.AgeMs)})
+		for _, b := range s.Suspicions {
+			e.Suspicions = append(e.Suspicions, quarantine.Suspicion{End: b.CrashID, Elapsed: clampMs(b.RanMs), Begun: b.Begun, At: timeFromAge(now, b.AgeMs)})
 		}
 		if s.Verdict != nil {
 			e.Verdict = &quarantine.Verdict{At: timeFromAge(now, s.Verdict.AgeMs), Trials: max(0, s.Verdict.Trials)}
@@ -82,15 +82,15 @@
 // Exchange is the quarantine state that two nodes send each other while no lease holder merges it for all.
 type Exchange struct {
 	// Node is the sender, and Life identifies the incarnation of its process.
-	Node string `json:"node"`
-	Life string `json:"life"`
+	Node        string `json:"node"`
+	Incarnation string `json:"life"`
 	// Since is the version of the receiver's state, in the incarnation Of of the receiver, that the sender has merged.
-	Since uint64 `json:"since,omitempty"`
-	Of    string `json:"of,omitempty"`
+	Since               uint64 `json:"since,omitempty"`
+	ReceiverIncarnation string `json:"of,omitempty"`
 	// Version is the version of the sender's state that the receiver has once it has merged Suspects.
 	Version  uint64    `json:"version"`
 	Suspects []Suspect `json:"suspects,omitempty"`
-	// Signals are all endpoint signals that the sender knows.
+	// EncodeSignals are all endpoint signals that the sender knows.
 	Signals []Signal `json:"signals,omitempty"`
 }
 
--- a/io/peer/quarantine_test.go
+++ b/io/peer/quarantine_test.go
@@ -20,20 +20,20 @@
 	entries := func(now time.Time) []quarantine.Entry {
 		return []quarantine.Entry{{
 			Request: quarantine.FingerprintOf("c", quarantine.DigestOf("POST", "h", "/", nil)), Epoch: 2, At: now.Add(-9 * time.Second),
-			Blames: []quarantine.Blame{
-				{End: quarantine.EndID{Engine: "a", Start: 5}, Ran: 80 * time.Millisecond, Begun: true, At: now.Add(-8 * time.Second)},
-				{End: quarantine.EndID{Engine: "b", N: 1}, At: now.Add(-7 * time.Second)},
+			Suspicions: []quarantine.Suspicion{
+				{End: quarantine.CrashID{Engine: "a", Start: 5}, Elapsed: 80 * time.Millisecond, Begun: true, At: now.Add(-8 * time.Second)},
+				{End: quarantine.CrashID{Engine: "b", N: 1}, At: now.Add(-7 * time.Second)},
 			},
 			Verdict: &quarantine.Verdict{At: now.Add(-6 * time.Second), Trials: 1},
 		}, {Request: quarantine.Fingerprint{1}, At: now}}
 	}
-	if diff := cmp.Diff(entries(receiver), Entries(Suspects(entries(sender), sender), receiver)); diff != "" {
+	if diff := cmp.Diff(entries(receiver), DecodeSuspects(EncodeSuspects(entries(sender), sender), receiver)); diff != "" {
 		t.Errorf("entries (-want +got):\n%s", diff)
 	}
 	h := &fakeHolder{}
 	srv := httptest.NewServer(Handler(h))
 	defer srv.Close()
-	want := &Exchange{Node: "n", Life: "n-1", Since: 3, Of: "m-1", Version: 9, Suspects: Suspects(entries(sender), sender)}
+	want := &Exchange{Node: "n", Incarnation: "n-1", Since: 3, ReceiverIncarnation: "m-1", Version: 9, Suspects: EncodeSuspects(entries(sender), sender)}
 	c := NewClient(&net.Dialer{Timeout: time.Second})
 	got, err := answered(t, func() (*Exchange, error) {
 		return c.Exchange(t.Context(), strings.TrimPrefix(srv.URL, "http://"), want)
@@ -50,14 +50,14 @@
 func TestSuspectsAreClamped(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	invalid := []Suspect{{
-		AgeMs:   -5,
-		Blames:  []Blame{{RanMs: -1, AgeMs: 1 << 62}},
-		Verdict: &Verdict{AgeMs: -1 << 62, Trials: -3},
+		AgeMs:      -5,
+		Suspicions: []Suspicion{{RanMs: -1, AgeMs: 1 << 62}},
+		Verdict:    &Verdict{AgeMs: -1 << 62, Trials: -3},
 	}}
 	want := []quarantine.Entry{{
-		At: now, Blames: []quarantine.Blame{{At: now.Add(-maxAge)}}, Verdict: &quarantine.Verdict{At: now},
+		At: now, Suspicions: []quarantine.Suspicion{{At: now.Add(-maxAge)}}, Verdict: &quarantine.Verdict{At: now},
 	}}
-	if diff := cmp.Diff(want, Entries(invalid, now)); diff != "" {
+	if diff := cmp.Diff(want, DecodeSuspects(invalid, now)); diff != "" {
 		t.Errorf("entries (-want +got):\n%s", diff)
 	}
 }
@@ -77,9 +77,9 @@
 			t.Fatalf("status %d", w.Code)
 		}
 		r := quarantine.NewRegistry(now)
-		r.Merge(Entries(h.exchange.Suspects, now), now)
-		r.Judge(now.Add(time.Minute))
-		entries, _ := r.Since(0, quarantine.All)
+		r.Merge(DecodeSuspects(h.exchange.Suspects, now), now)
+		r.Evaluate(now.Add(time.Minute))
+		entries, _ := r.Since(0, quarantine.AllRecords)
 		version := r.Version()
 		r.Merge(entries, now.Add(time.Minute))
 		if r.Version() != version {
--- a/io/peer/runlock.go
+++ b/io/peer/runlock.go
@@ -16,18 +16,18 @@
 	runLockTimeout = 250 * time.Millisecond
 )
 
-// TurnQuestion acquires or releases the run lock of an isolated request, of which one copy runs at a time.
-type TurnQuestion struct {
+// RunLockRequest acquires or releases the run lock of an isolated request, of which one copy runs at a time.
+type RunLockRequest struct {
 	Request quarantine.Fingerprint `json:"request"`
 	// Run identifies the run among all runs of all nodes and of their incarnations.
 	Run string `json:"run"`
 	// Release releases the lock. Well is true if an engine has answered the run.
-	Release bool `json:"release,omitempty"`
-	Well    bool `json:"well,omitempty"`
+	Release  bool `json:"release,omitempty"`
+	Answered bool `json:"well,omitempty"`
 }
 
-// Turn is the lease holder's answer to a TurnQuestion.
-type Turn struct {
+// RequestRunLock is the lease holder's answer to a TurnQuestion.
+type RunLock struct {
 	// AfterMs is the time after which to ask again, in milliseconds; 0 if the lock was acquired.
 	AfterMs int64 `json:"afterMs,omitempty"`
 }
@@ -35,7 +35,7 @@
 // handleRunLock serves run lock requests of nodes.
 func handleRunLock(h Holder) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var q TurnQuestion
+		var q RunLockRequest
 		if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&q); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -49,9 +49,9 @@
 	}
 }
 
-// Turn acquires or releases a run lock at the lease holder at an address.
-func (c *Client) Turn(ctx context.Context, address string, q *TurnQuestion) (*Turn, error) {
-	var a Turn
+// RequestRunLock acquires or releases a run lock at the lease holder at an address.
+func (c *Client) RequestRunLock(ctx context.Context, address string, q *RunLockRequest) (*RunLock, error) {
+	var a RunLock
 	if err := c.post(ctx, runLockTimeout, address+pathRunLock, q, &a); err != nil {
 		return nil, err
 	}
--- a/io/peer/runlock_test.go
+++ b/io/peer/runlock_test.go
@@ -21,12 +21,12 @@
 	defer srv.Close()
 	address := strings.TrimPrefix(srv.URL, "http://")
 	c := NewClient(&net.Dialer{Timeout: time.Second})
-	q := &TurnQuestion{Request: quarantine.Fingerprint{1, 2}, Run: "n-1/7", Release: true, Well: true}
-	ask := func() (*Turn, error) { return c.Turn(t.Context(), address, q) }
+	q := &RunLockRequest{Request: quarantine.Fingerprint{1, 2}, Run: "n-1/7", Release: true, Answered: true}
+	ask := func() (*RunLock, error) { return c.RequestRunLock(t.Context(), address, q) }
 	if _, err := answered(t, ask); !errors.Is(err, ErrNotHolder) {
 		t.Errorf("a node without the lease answered %v", err)
 	}
-	h.turn = &Turn{AfterMs: 450}
+	h.turn = &RunLock{AfterMs: 450}
 	got, err := answered(t, ask)
 	if err != nil {
 		t.Fatal(err)
--- a/io/peer/shared_test.go
+++ b/io/peer/shared_test.go
@@ -19,9 +19,9 @@
 	records := []directory.Record{{ID: "e", Version: 3}, {ID: "f", Version: 4}}
 	shared := &Shared{Serving: serving, Instances: records}
 	for _, s := range []*Snapshot{
-		{Life: "a-1", Version: 7, Whole: true, Serving: serving, Feed: Feed{Instances: records, ListedTo: 9}},
-		{Life: "a-1", Version: 7, Whole: true, Serving: serving, Feed: Feed{Instances: records, ListedTo: 9}, Shared: shared},
-		{Life: "a-1", Version: 7, Whole: true, Shared: &Shared{}},
+		{Term: "a-1", Version: 7, Full: true, Serving: serving, StoreState: StoreState{Instances: records, DirectoryVersion: 9}},
+		{Term: "a-1", Version: 7, Full: true, Serving: serving, StoreState: StoreState{Instances: records, DirectoryVersion: 9}, Shared: shared},
+		{Term: "a-1", Version: 7, Full: true, Shared: &Shared{}},
 	} {
 		for _, compressed := range []bool{false, true} {
 			raw, encoding, err := snapshotBody(s, compressed)
@@ -65,7 +65,7 @@
 		id := fmt.Sprint("i-", i)
 		shared.Instances = append(shared.Instances, directory.Record{ID: id, Version: uint64(i), Instance: &directory.Instance{ID: id, Service: "s", Address: "10.1.2.3:8000", Slots: 8}})
 	}
-	s := &Snapshot{Life: "a-1", Whole: true, Feed: Feed{Instances: shared.Instances}, Shared: shared}
+	s := &Snapshot{Term: "a-1", Full: true, StoreState: StoreState{Instances: shared.Instances}, Shared: shared}
 	for b.Loop() {
 		if _, _, err := snapshotBody(s, true); err != nil {
 			b.Fatal(err)
--- a/io/peer/signal.go
+++ b/io/peer/signal.go
@@ -14,26 +14,26 @@
 	// Limit is the rate that the endpoint accepts from all nodes together, in requests per second; 0 if it publishes none.
 	Limit float64 `json:"limit,omitempty"`
 	AgeMs int64   `json:"ageMs"`
-	// Leaving is true if the endpoint has announced that it is draining.
-	Leaving bool `json:"leaving,omitempty"`
-	// RestMs is the remaining backoff that the endpoint asked for, in milliseconds.
-	RestMs int64 `json:"restMs,omitempty"`
+	// Draining is true if the endpoint has announced that it is draining.
+	Draining bool `json:"leaving,omitempty"`
+	// BackoffMs is the remaining backoff that the endpoint asked for, in milliseconds.
+	BackoffMs int64 `json:"restMs,omitempty"`
 }
 
-// Signals encodes endpoint reports, with ages relative to now.
-func Signals(reports []signal.Word, now time.Time) []Signal {
+// EncodeSignals encodes endpoint reports, with ages relative to now.
+func EncodeSignals(reports []signal.Report, now time.Time) []Signal {
 	out := make([]Signal, 0, len(reports))
 	for _, w := range reports {
-		out = append(out, Signal{Endpoint: w.Endpoint, Born: w.Start, Limit: w.Limit, AgeMs: now.Sub(w.At).Milliseconds(), Leaving: w.Leaving, RestMs: max(0, w.RestUntil.Sub(now).Milliseconds())})
+		out = append(out, Signal{Endpoint: w.Endpoint, Born: w.Start, Limit: w.Limit, AgeMs: now.Sub(w.At).Milliseconds(), Draining: w.Draining, BackoffMs: max(0, w.BackoffUntil.Sub(now).Milliseconds())})
 	}
 	return out
 }
 
-// Words decodes signals received at now. It skips invalid ones.
-func Words(signals []Signal, now time.Time) []signal.Word {
-	out := make([]signal.Word, 0, len(signals))
+// DecodeSignals decodes signals received at now. It skips invalid ones.
+func DecodeSignals(signals []Signal, now time.Time) []signal.Report {
+	out := make([]signal.Report, 0, len(signals))
 	for _, s := range signals {
-		w := signal.Word{Life: signal.Life{Endpoint: s.Endpoint, Start: s.Born}, Limit: s.Limit, At: timeFromAge(now, s.AgeMs), Leaving: s.Leaving, RestUntil: now.Add(clampMs(s.RestMs))}
+		w := signal.Report{Incarnation: signal.Incarnation{Endpoint: s.Endpoint, Start: s.Born}, Limit: s.Limit, At: timeFromAge(now, s.AgeMs), Draining: s.Draining, BackoffUntil: now.Add(clampMs(s.BackoffMs))}
 		if w.Check() == nil {
 			out = append(out, w)
 		}
--- a/io/peer/signal_test.go
+++ b/io/peer/signal_test.go
@@ -13,15 +13,15 @@
 // TestSignalsKeepAges checks that times are transferred as ages, whatever the difference of the two nodes' clocks.
 func TestSignalsKeepAges(t *testing.T) {
 	here, there := time.Unix(1000, 0), time.Unix(5000, 0)
-	reports := []signal.Word{
-		{Life: signal.Life{Endpoint: "i-1", Start: 7}, Limit: 1.5, At: here.Add(-time.Second), Leaving: true, RestUntil: here.Add(2 * time.Second)},
-		{Life: signal.Life{Endpoint: "i-2"}, At: here.Add(-time.Minute)},
+	reports := []signal.Report{
+		{Incarnation: signal.Incarnation{Endpoint: "i-1", Start: 7}, Limit: 1.5, At: here.Add(-time.Second), Draining: true, BackoffUntil: here.Add(2 * time.Second)},
+		{Incarnation: signal.Incarnation{Endpoint: "i-2"}, At: here.Add(-time.Minute)},
 	}
-	want := []signal.Word{
-		{Life: signal.Life{Endpoint: "i-1", Start: 7}, Limit: 1.5, At: there.Add(-time.Second), Leaving: true, RestUntil: there.Add(2 * time.Second)},
-		{Life: signal.Life{Endpoint: "i-2"}, At: there.Add(-time.Minute), RestUntil: there},
+	want := []signal.Report{
+		{Incarnation: signal.Incarnation{Endpoint: "i-1", Start: 7}, Limit: 1.5, At: there.Add(-time.Second), Draining: true, BackoffUntil: there.Add(2 * time.Second)},
+		{Incarnation: signal.Incarnation{Endpoint: "i-2"}, At: there.Add(-time.Minute), BackoffUntil: there},
 	}
-	raw, err := json.Marshal(Signals(reports, here))
+	raw, err := json.Marshal(EncodeSignals(reports, here))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	if err := json.Unmarshal(raw, &received); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(want, Words(received, there)); diff != "" {
+	if diff := cmp.Diff(want, DecodeSignals(received, there)); diff != "" {
 		t.Errorf("reports (-want +got):\n%s", diff)
 	}
 }
@@ -45,9 +45,9 @@
 			return
 		}
 		now := time.Unix(1000, 0)
-		b := signal.NewBook()
-		for _, w := range Words(received, now) {
-			if w.Check() != nil || w.At.After(now) || w.RestUntil.Before(now) {
+		b := signal.NewRegistry()
+		for _, w := range DecodeSignals(received, now) {
+			if w.Check() != nil || w.At.After(now) || w.BackoffUntil.Before(now) {
 				t.Errorf("accepted: %+v", w)
 			}
 			b.Merge(w, now)
--- a/io/peer/silence_test.go
+++ b/io/peer/silence_test.go
@@ -28,7 +28,7 @@
 	defer srv.Close()
 	c := NewClient(&net.Dialer{Timeout: time.Second})
 	_, err := answered(t, func() (*Snapshot, error) {
-		return c.Watch(t.Context(), strings.TrimPrefix(srv.URL, "http://"), Question{Node: "n", Wait: time.Second})
+		return c.Watch(t.Context(), strings.TrimPrefix(srv.URL, "http://"), WatchRequest{Node: "n", Wait: time.Second})
 	})
 	if !errors.Is(err, ErrTooLarge) {
 		t.Errorf("error %v, want %v", err, ErrTooLarge)
@@ -38,7 +38,7 @@
 // TestWatchRequestRoundTrip checks that the fields that the feed tree needs survive the round trip, and that a request of
 // an earlier release, which lacks them, is still parsed.
 func TestWatchRequestRoundTrip(t *testing.T) {
-	want := Question{Node: "n", Life: "a-1", Version: 2, Wait: time.Second, Address: "10.0.0.1:7", Hall: "h", Strength: 0.25, Feeder: true, Orphan: true}
+	want := WatchRequest{Node: "n", Life: "a-1", Version: 2, Wait: time.Second, Address: "10.0.0.1:7", Hall: "h", Strength: 0.25, Feeder: true, Orphan: true}
 	got, err := parseWatchRequest(want.values())
 	if err != nil {
 		t.Fatal(err)
@@ -54,14 +54,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(Question{Node: "n", Life: "a-1", Version: 2, Wait: time.Second}, got); diff != "" {
+	if diff := cmp.Diff(WatchRequest{Node: "n", Life: "a-1", Version: 2, Wait: time.Second}, got); diff != "" {
 		t.Errorf("watch request of an earlier release (-want +got):\n%s", diff)
 	}
 }
 
 // TestEmptyFeedersAreEncoded checks that an empty list of feeders is distinct on the wire from an unchanged one.
 func TestEmptyFeedersAreEncoded(t *testing.T) {
-	for _, want := range []*Snapshot{{Life: "a"}, {Life: "a", Feeders: []feedtree.Node{}}, {Life: "a", Feeders: []feedtree.Node{{Name: "n"}}}} {
+	for _, want := range []*Snapshot{{Term: "a"}, {Term: "a", Feeders: []feedtree.Node{}}, {Term: "a", Feeders: []feedtree.Node{{Name: "n"}}}} {
 		raw, _, err := snapshotBody(want, false)
 		if err != nil {
 			t.Fatal(err)
