--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -44,8 +44,11 @@
 	unloading
 )
 
+// unitKey identifies a version of a model or adapter.
 type unitKey struct{ Unit, Version string }
 
+// resident is a unit that occupies memory of the engine. base is the base model of an adapter, and
+// running the number of requests that use the unit.
 type resident struct {
 	bytes   uint64
 	base    string
@@ -152,7 +155,7 @@
 	return e.Faults.Wrap(mux)
 }
 
-func (e *Engine) violate(format string, args ...any) {
+func (e *Engine) addViolation(format string, args ...any) {
 	e.violations = append(e.violations, e.Instance+": "+fmt.Sprintf(format, args...))
 }
 
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -79,11 +79,11 @@
 		return res, nil
 	}
 	if e.used+o.Bytes > e.MemoryBytes {
-		e.violate("load of %s@%s would hold %d of %d bytes", o.Unit, o.Version, e.used+o.Bytes, e.MemoryBytes)
+		e.addViolation("load of %s@%s would hold %d of %d bytes", o.Unit, o.Version, e.used+o.Bytes, e.MemoryBytes)
 		return nil, errors.New("outOfMemory")
 	}
 	if o.Base != "" && !e.hasBase(o.Base) {
-		e.violate("load of adapter %s without its base %s", o.Unit, o.Base)
+		e.addViolation("load of adapter %s without its base %s", o.Unit, o.Base)
 		return nil, errors.New("baseNotLoaded")
 	}
 	e.updateIdle()
--- a/standin/instancelist/instancelist.go
+++ b/standin/instancelist/instancelist.go
@@ -47,6 +47,7 @@
 	versions []version
 }
 
+// version is the list as it stands after a change at the time at.
 type version struct {
 	at        time.Time
 	instances map[string]Instance
--- a/standin/logservice/logservice.go
+++ b/standin/logservice/logservice.go
@@ -45,6 +45,8 @@
 	appended map[string]int
 }
 
+// stream holds the retained records of a stream; first is the offset of records[0]. changed is closed
+// and replaced at every append.
 type stream struct {
 	first   uint64
 	records [][]byte
@@ -145,14 +147,14 @@
 }
 
 func (l *Log) read(w http.ResponseWriter, r *http.Request) {
-	from := number(r, "from", 0)
-	most := int(number(r, "max", 1000))
-	wait := time.Duration(number(r, "waitMs", 0)) * time.Millisecond
+	from := queryUint(r, "from", 0)
+	limit := int(queryUint(r, "max", 1000))
+	wait := time.Duration(queryUint(r, "waitMs", 0)) * time.Millisecond
 	timeout := time.After(min(wait, time.Minute))
 	for {
 		l.mu.Lock()
 		s := l.stream(r.PathValue("stream"))
-		page, changed := s.page(from, most), s.changed
+		page, changed := s.page(from, limit), s.changed
 		l.mu.Unlock()
 		if len(page.Records) > 0 || wait == 0 {
 			writeJSON(w, page)
@@ -169,15 +171,15 @@
 	}
 }
 
-func (s *stream) page(from uint64, most int) Page {
+func (s *stream) page(from uint64, limit int) Page {
 	p := Page{Earliest: s.first, Next: s.first + uint64(len(s.records))}
-	for o := max(from, s.first); o < p.Next && len(p.Records) < most; o++ {
+	for o := max(from, s.first); o < p.Next && len(p.Records) < limit; o++ {
 		p.Records = append(p.Records, Record{Offset: o, Data: s.records[o-s.first]})
 	}
 	return p
 }
 
-func number(r *http.Request, name string, fallback uint64) uint64 {
+func queryUint(r *http.Request, name string, fallback uint64) uint64 {
 	n, err := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
 		return fallback
