--- a/core/quarantine/bounds.go
+++ b/core/quarantine/bounds.go
@@ -25,7 +25,8 @@
 	// SettleTime is how long after the latest suspicion of a crash all of its suspects are assumed to be known:
 	// connections break within milliseconds, and nodes report at once.
 	SettleTime = 250 * time.Millisecond
-	// PropagationTime is the time that a verdict takes from the node that joins the blames of all nodes to the other nodes.
+	// PropagationTime is the time that a verdict takes from the node that collects the suspicions of all nodes to the
+	// other nodes.
 	PropagationTime = 200 * time.Millisecond
 )
 
@@ -72,7 +73,7 @@
 }
 
 // evictVerdict removes the verdict whose request was not seen for longest if there are too many verdicts, but never
-// that of the record but.
+// that of the record except.
 func (r *Registry) evictVerdict(except *record) {
 	if r.verdicts <= maxVerdicts {
 		return
--- a/core/quarantine/doc.go
+++ b/core/quarantine/doc.go
@@ -7,11 +7,11 @@
 //
 // A request is identified by its [Fingerprint], which is the same for all attempts of one caller at all nodes. A
 // [Tracker] knows which requests run on which engines; when an engine has crashed, each request that it ran becomes a
-// suspect, with a [Suspicion] that tells how long it had run. A [Registry] joins the blames of all nodes and keeps a
-// [State] for each request, from the probability that the request crashes engines. A crash that is explained by
-// another suspect, by many simultaneous crashes or by a long run raises the probability little; two crashes soon
-// after the request began raise it almost to 1. A successful answer clears the request. Nodes exchange what they know
-// as [Entry] values, whose merge is commutative, associative and idempotent.
+// suspect, with a [Suspicion] that states how long it had run. A [Registry] collects the suspicions of all nodes and
+// keeps a [State] for each request, from the probability that the request crashes engines. A crash that is explained by
+// another suspect, by many simultaneous crashes or by a long run raises the probability little; two crashes soon after
+// the request began raise it almost to 1. A successful answer clears the request. Nodes exchange what they know as
+// [Entry] values, whose merge is commutative, associative and idempotent.
 //
 // The package is used through the guard in internal/isolation. It does no I/O and reads no clock; the time is passed
 // in.
--- a/core/quarantine/entry.go
+++ b/core/quarantine/entry.go
@@ -40,14 +40,14 @@
 }
 
 // Entry is one node's knowledge of a request, as sent to other nodes and the store. Entries merge: the later epoch
-// replaces the earlier one; within one epoch the blames are united, and the verdict with more trials wins.
+// replaces the earlier one; within one epoch the suspicions are united, and the verdict with more trials wins.
 type Entry struct {
 	Request Fingerprint
-	// Epoch counts how often the request was cleared; blames of earlier epochs are void.
+	// Epoch counts how often the request was cleared; suspicions of earlier epochs are void.
 	Epoch uint32
 	// At is when the epoch began, or when the request was first suspected.
 	At time.Time
-	// Suspicions are sorted by End, one for each.
+	// Suspicions are sorted by End; there is one for each crash.
 	Suspicions []Suspicion
 	// Verdict is nil if the request is not quarantined.
 	Verdict *Verdict
--- a/core/quarantine/evaluate.go
+++ b/core/quarantine/evaluate.go
@@ -49,26 +49,26 @@
 // all suspects of the same crashes are known: before that, the suspect that is reported first would appear to be the
 // only one.
 func (r *Registry) assess(rec *record, now time.Time) event {
-	belief := sigmoid(float64(rec.odds))
+	probability := sigmoid(float64(rec.odds))
 	delete(r.pending, rec)
 	switch {
 	case rec.unexplained >= maxUnexplainedCrashes, len(rec.distinctEvents()) >= maxCrashes:
 		return verdictReached
 	case rec.unexplained == 0:
 		return explained
-	case belief >= quarantineThreshold && r.complete:
+	case probability >= quarantineThreshold && r.complete:
 		if rec.settledAt() <= now.Sub(r.base) {
 			return verdictReached
 		}
 		r.pending[rec] = true
 		return strongSuspicion
-	case belief >= isolateThreshold, rec.unexplained > 1:
+	case probability >= isolateThreshold, rec.unexplained > 1:
 		return strongSuspicion
 	}
 	return weakSuspicion
 }
 
-// Pending reports whether some records wait for Judge until their crashes have settled.
+// Pending reports whether some records wait for Evaluate until their crashes have settled.
 func (r *Registry) Pending() bool { return len(r.pending) > 0 }
 
 // Evaluate evaluates the pending records whose crashes have settled, and returns the requests whose state changed.
@@ -85,9 +85,9 @@
 
 // takeTransitioned returns the requests whose state changed since the last call.
 func (r *Registry) takeTransitioned() []Fingerprint {
-	moved := r.transitioned
+	transitioned := r.transitioned
 	r.transitioned = nil
-	return moved
+	return transitioned
 }
 
 // apply applies an event to a record's state.
--- a/core/quarantine/exchange.go
+++ b/core/quarantine/exchange.go
@@ -7,10 +7,10 @@
 
 // Possible scopes.
 const (
-	// AllRecords selects every record. It is used between nodes while no node joins the blames of all.
+	// AllRecords selects every record. It is used between nodes while no node collects the suspicions of all.
 	AllRecords Scope = iota
-	// LocalRecords selects the records that this node has blamed or cleared itself, to be sent to the node that joins the
-	// blames of all nodes.
+	// LocalRecords selects the records that this node has suspected or cleared itself, to be sent to the node that
+	// collects the suspicions of all nodes.
 	LocalRecords
 	// SharedRecords selects the records that matter to nodes which do not suspect the request themselves. The rest is
 	// left out, since most suspects of a crash are never suspected again.
--- a/core/quarantine/odds.go
+++ b/core/quarantine/odds.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Parameters of the probability that a request crashes engines. TestSeries simulates them: series of such requests
-// beside engines that crash for other reasons.
+// Parameters of the probability that a request crashes engines. TestCrashingRequestSeries in internal/quarantinelab
+// simulates them: series of such requests in a deployment whose engines also crash for other reasons.
 const (
 	// priorCrashing is the prior probability that a request crashes engines.
 	priorCrashing = 1e-4
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -20,7 +20,7 @@
 	unexplained uint8
 	// odds is the logarithm of the odds that the request crashes engines.
 	odds float32
-	// suspicions are sorted by their crashes, one for each.
+	// suspicions are sorted by their crashes; there is one for each.
 	suspicions []suspicion
 	// since is when the epoch began, verdictAt when the verdict was reached or the latest trial began, and seenAt
 	// when the request was last seen, all relative to the registry's base.
@@ -29,7 +29,7 @@
 	version uint64
 }
 
-// suspicion is the internal form of a Blame.
+// suspicion is the internal form of a [Suspicion].
 type suspicion struct {
 	crash *crash
 	// at is when the crash was noticed, relative to the registry's base; elapsed is how long the engine had the
@@ -61,13 +61,14 @@
 	verdicts int
 	// engines is the number of engines in the deployment.
 	engines int
-	// complete is true if the blames of all nodes arrive here.
+	// complete is true if the suspicions of all nodes arrive here.
 	complete bool
 	// version increases with each change; sharedVersion is the version of the latest change of a shared record.
 	version, sharedVersion uint64
 }
 
-// NewRegistry returns an empty registry that is complete: it stands alone until SetWhole says otherwise.
+// NewRegistry returns an empty registry that is complete: it assumes that there is no other node until SetComplete is
+// called.
 func NewRegistry(now time.Time) *Registry {
 	return &Registry{base: now, records: make(map[Fingerprint]*record), crashes: make(map[CrashID]*crash), pending: make(map[*record]bool), complete: true}
 }
@@ -75,8 +76,8 @@
 // SetEngines sets the number of engines, which the rate of spontaneous crashes is computed from.
 func (r *Registry) SetEngines(n int) { r.engines = n }
 
-// SetComplete sets whether the blames of all nodes arrive here. Elsewhere most suspects of a crash are unknown, so the
-// probability leads to no verdict there; only the number of crashes does.
+// SetComplete sets whether the suspicions of all nodes arrive here. Elsewhere most suspects of a crash are unknown, so
+// the probability leads to no verdict there; only the number of crashes does.
 func (r *Registry) SetComplete(complete bool) {
 	if complete && !r.complete {
 		for _, rec := range r.records {
@@ -166,9 +167,9 @@
 	return e
 }
 
-// Suspicion records that an engine crashed under requests of this node, with one blame for each, and returns the requests
-// whose state changed.
-func (r *Registry) Suspect(requests []Fingerprint, blames []Suspicion, now time.Time) []Fingerprint {
+// Suspect records that an engine crashed under requests of this node, with one suspicion for each, and returns the
+// requests whose state changed.
+func (r *Registry) Suspect(requests []Fingerprint, suspicions []Suspicion, now time.Time) []Fingerprint {
 	var touched []*record
 	for i, f := range requests {
 		rec := r.record(f, now)
@@ -176,7 +177,7 @@
 			continue
 		}
 		rec.seenAt, rec.local = now.Sub(r.base), true
-		if r.addSuspicion(rec, blames[i], now) {
+		if r.addSuspicion(rec, suspicions[i], now) {
 			r.bumpVersion(rec)
 			touched = append(touched, rec)
 		}
@@ -227,8 +228,8 @@
 	rec.suspicions, rec.odds, rec.unexplained = nil, 0, 0
 }
 
-// addSuspicion adds a blame to a record, and reports whether it changed anything. If several nodes reported the same
-// crash, the shortest time that the request had run counts, since it is the strongest evidence.
+// addSuspicion adds a suspicion to a record, and reports whether it changed anything. If several nodes reported the
+// same crash, the shortest time that the request had run counts, since it is the strongest evidence.
 func (r *Registry) addSuspicion(rec *record, b Suspicion, now time.Time) bool {
 	at := b.At.Sub(r.base)
 	e := r.crash(b.End, at)
--- a/core/quarantine/registry_test.go
+++ b/core/quarantine/registry_test.go
@@ -20,7 +20,7 @@
 // at returns the time d after start.
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// suspicionOf returns a blame for a crash of an engine at time d, after the request had run for the time ran.
+// suspicionOf returns a suspicion for a crash of an engine at time d, after the request had run for the time ran.
 func suspicionOf(engine string, d, ran time.Duration) Suspicion {
 	return Suspicion{End: CrashID{Engine: engine}, Elapsed: ran, Begun: true, At: at(d)}
 }
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestVerdictWaitsForSuspects guards against a verdict on the first reported suspect of a crash: until the reports on the
-// others arrive, it seems to be the only one.
+// TestVerdictWaitsForSuspects guards against a verdict on the first reported suspect of a crash: until the reports on
+// the others arrive, it seems to be the only one.
 func TestVerdictWaitsForSuspects(t *testing.T) {
 	r := NewRegistry(start)
 	r.SetEngines(9)
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestNoVerdictByProbabilityWhileIncomplete guards against a verdict by probability at a node that does not receive the blames of
-// all nodes, and so knows only some of the suspects.
+// TestNoVerdictByProbabilityWhileIncomplete guards against a verdict by probability at a node that does not receive the
+// suspicions of all nodes, and so knows only some of the suspects.
 func TestNoVerdictByProbabilityWhileIncomplete(t *testing.T) {
 	r := NewRegistry(start)
 	r.SetEngines(9)
--- a/core/quarantine/turns.go
+++ b/core/quarantine/runlocks.go
@@ -28,8 +28,8 @@
 // NewRunLocks returns an empty set of run locks.
 func NewRunLocks() *RunLocks { return &RunLocks{locks: make(map[Fingerprint]runLock)} }
 
-// Acquire acquires the run lock of a request for a run, which holder identifies. It returns 0 if it succeeded, and otherwise
-// the delay after which to retry.
+// Acquire acquires the run lock of a request for a run, which holder identifies. It returns 0 if it succeeded, and
+// otherwise the delay after which to retry.
 func (t *RunLocks) Acquire(f Fingerprint, holder string, now time.Time) (retryAfter time.Duration) {
 	if left := t.locks[f].until.Sub(now); left > 0 {
 		return left
--- a/core/quarantine/turns_test.go
+++ b/core/quarantine/runlocks_test.go
@@ -23,7 +23,7 @@
 	release := func(by string, well bool) func(*RunLocks, time.Time) time.Duration {
 		return func(t *RunLocks, now time.Time) time.Duration { t.Release(f, by, well, now); return 0 }
 	}
-	turns := NewRunLocks()
+	locks := NewRunLocks()
 	for _, s := range []step{
 		{"the first", 0, take(f, "a"), 0},
 		{"another request", 0, take(g, "b"), 0},
@@ -38,7 +38,7 @@
 		{"a copy in that turn", 0, take(f, "e"), runLockTTL},
 	} {
 		now = now.Add(s.after)
-		if diff := cmp.Diff(s.want, s.do(turns, now)); diff != "" {
+		if diff := cmp.Diff(s.want, s.do(locks, now)); diff != "" {
 			t.Errorf("%s: time to wait (-want +got):\n%s", s.what, diff)
 		}
 	}
@@ -47,7 +47,7 @@
 // TestOneCopyAtATime checks that no two copies of a request run within the TTL of a run lock.
 func TestOneCopyAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		turns, now := NewRunLocks(), time.Unix(1000, 0)
+		locks, now := NewRunLocks(), time.Unix(1000, 0)
 		running := make(map[Fingerprint]time.Time)
 		for i := range 200 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
@@ -55,9 +55,9 @@
 			since, ok := running[f]
 			switch {
 			case ok && rapid.Bool().Draw(t, "ends"):
-				turns.Release(f, since.String(), rapid.Bool().Draw(t, "well"), now)
+				locks.Release(f, since.String(), rapid.Bool().Draw(t, "well"), now)
 				delete(running, f)
-			case turns.Acquire(f, now.String(), now) > 0:
+			case locks.Acquire(f, now.String(), now) > 0:
 			case ok && now.Sub(since) < runLockTTL:
 				t.Fatalf("step %d: a second copy runs %v after the first", i, now.Sub(since))
 			default:
@@ -69,12 +69,12 @@
 
 // TestExpiredRunLocksRemoved checks that expired locks are removed when their number reaches the limit.
 func TestExpiredRunLocksRemoved(t *testing.T) {
-	turns, now := NewRunLocks(), time.Unix(1000, 0)
+	locks, now := NewRunLocks(), time.Unix(1000, 0)
 	for i := range 2 * maxRunLocks {
 		now = now.Add(runLockTTL / maxRunLocks)
-		turns.Acquire(Fingerprint{byte(i), byte(i >> 8)}, "a", now)
+		locks.Acquire(Fingerprint{byte(i), byte(i >> 8)}, "a", now)
 	}
-	if n := len(turns.locks); n > maxRunLocks {
+	if n := len(locks.locks); n > maxRunLocks {
 		t.Errorf("%d locks are held, want %d at most", n, maxRunLocks)
 	}
 }
--- a/core/quarantine/tracker.go
+++ b/core/quarantine/tracker.go
@@ -133,8 +133,8 @@
 func (t *Tracker) Abandon(run *Run, now time.Time) { run.stoppedAt = now }
 
 // Break records that the connection broke before the answer was complete. If the engine is known to have just
-// crashed, it returns the blame for that crash and true.
-func (t *Tracker) Break(run *Run, now time.Time) (blame Suspicion, crashed bool) {
+// crashed, it returns the suspicion for that crash and true.
+func (t *Tracker) Break(run *Run, now time.Time) (suspicion Suspicion, crashed bool) {
 	er := t.runsOf(run.incarnation, now)
 	run.stoppedAt, run.broke = now, true
 	if er.draining || t.wasGood(run.request, now) || er.crashedAt.IsZero() || now.Sub(er.crashedAt) > breakWindow || run.sentAt.After(er.crashedAt) {
@@ -144,7 +144,7 @@
 	return run.suspicion(er.crashID(run.incarnation), er.crashedAt), true
 }
 
-// suspicion returns the blame of the run for a crash.
+// suspicion returns the suspicion of the run for a crash.
 func (run *Run) suspicion(id CrashID, at time.Time) Suspicion {
 	from := run.sentAt
 	if !run.begunAt.IsZero() {
@@ -159,10 +159,10 @@
 	return CrashID{Engine: l.Engine, Start: l.Start, N: er.crashes}
 }
 
-// EngineCrashed records that an engine crashed, and returns the crash with its suspects and their blames. The suspects are the
-// requests whose connections broke or which were abandoned just before. The result is empty if the shutdown was
-// planned.
-func (t *Tracker) EngineCrashed(l Incarnation, now time.Time) (id CrashID, requests []Fingerprint, blames []Suspicion) {
+// EngineCrashed records that an engine crashed, and returns the crash with its suspects and their suspicions. The
+// suspects are the requests whose connections broke or which were abandoned just before. The result is empty if the
+// shutdown was planned.
+func (t *Tracker) EngineCrashed(l Incarnation, now time.Time) (id CrashID, requests []Fingerprint, suspicions []Suspicion) {
 	er := t.runsOf(l, now)
 	if er.draining {
 		return CrashID{}, nil, nil
@@ -177,10 +177,10 @@
 			continue
 		}
 		requests = append(requests, run.request)
-		blames = append(blames, run.suspicion(id, now))
+		suspicions = append(suspicions, run.suspicion(id, now))
 		delete(er.runs, run)
 	}
-	return id, requests, blames
+	return id, requests, suspicions
 }
 
 // coincidesWith reports whether a run is a suspect of a crash that happens now: its connection broke or the attempt
@@ -198,27 +198,27 @@
 
 // Restart records that an engine has started again, so that its former incarnation has crashed. Attempts that still
 // wait for an answer, and those abandoned within restartWindow, are suspects too.
-func (t *Tracker) Restart(former Incarnation, now time.Time) (id CrashID, requests []Fingerprint, blames []Suspicion) {
+func (t *Tracker) Restart(former Incarnation, now time.Time) (id CrashID, requests []Fingerprint, suspicions []Suspicion) {
 	if er := t.incarnations[former]; er != nil && !er.draining && er.crashedAt.IsZero() {
 		for run := range er.runs {
 			if run.stoppedAt.IsZero() || now.Sub(run.stoppedAt) <= restartWindow {
 				run.broke, run.stoppedAt = true, now
 			}
 		}
-		id, requests, blames = t.EngineCrashed(former, now)
+		id, requests, suspicions = t.EngineCrashed(former, now)
 	}
 	delete(t.incarnations, former)
-	return id, requests, blames
+	return id, requests, suspicions
 }
 
-// RecordCrash reports whether an engine is known to have crashed within breakWindow.
+// Crashed reports whether an engine is known to have crashed within breakWindow.
 func (t *Tracker) Crashed(l Incarnation, now time.Time) bool {
 	er := t.incarnations[l]
 	return er != nil && !er.crashedAt.IsZero() && now.Sub(er.crashedAt) <= breakWindow
 }
 
-// SetDraining records whether an engine's shutdown is planned or its entry is gone. Broken connections are then no sign
-// of a crash.
+// SetDraining records whether an engine's shutdown is planned or its entry is gone. Broken connections are then no
+// evidence of a crash.
 func (t *Tracker) SetDraining(l Incarnation, draining bool, now time.Time) {
 	if draining || t.incarnations[l] != nil {
 		t.runsOf(l, now).draining = draining
--- a/core/quarantine/tracker_test.go
+++ b/core/quarantine/tracker_test.go
@@ -16,8 +16,8 @@
 
 // TestTracker checks which requests are suspects of a crash.
 func TestTracker(t *testing.T) {
-	life := Incarnation{Engine: "a", Start: 7}
-	untold := Incarnation{Engine: "b"}
+	incarnation := Incarnation{Engine: "a", Start: 7}
+	withoutStart := Incarnation{Engine: "b"}
 	ms := func(n int) time.Time { return at(time.Duration(n) * time.Millisecond) }
 	// numbered returns the numbers of those requests that are below ten.
 	numbered := func(fs []Fingerprint) []int {
@@ -39,16 +39,16 @@
 		want   []tracked
 	}{
 		{"what broke just before, not what was answered or broke long ago", func(tr *Tracker) []tracked {
-			old, good, broken := tr.Send(request(0), life, ms(0)), tr.Send(request(1), life, ms(0)), tr.Send(request(2), life, ms(4000))
+			old, good, broken := tr.Send(request(0), incarnation, ms(0)), tr.Send(request(1), incarnation, ms(0)), tr.Send(request(2), incarnation, ms(4000))
 			tr.Break(old, ms(10))
 			tr.Answer(good, true, ms(20))
 			tr.Break(broken, ms(5000))
-			return []tracked{end(tr, life, ms(5005))}
+			return []tracked{end(tr, incarnation, ms(5005))}
 		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{2}}}},
 		{"what breaks just after", func(tr *Tracker) []tracked {
-			first, later, next := tr.Send(request(0), life, ms(0)), tr.Send(request(1), life, ms(0)), tr.Send(request(2), life, ms(50))
+			first, later, next := tr.Send(request(0), incarnation, ms(0)), tr.Send(request(1), incarnation, ms(0)), tr.Send(request(2), incarnation, ms(50))
 			tr.Break(first, ms(10))
-			out := []tracked{end(tr, life, ms(15))}
+			out := []tracked{end(tr, incarnation, ms(15))}
 			for i, run := range []*Run{later, next} {
 				if b, ended := tr.Break(run, ms(60)); ended {
 					out = append(out, tracked{b.End, []int{i + 1}})
@@ -57,14 +57,14 @@
 			return out
 		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{0}}, {CrashID{Engine: "a", Start: 7}, []int{1}}}},
 		{"what was given up just before, with less weight", func(tr *Tracker) []tracked {
-			early, late, broken := tr.Send(request(0), life, ms(0)), tr.Send(request(1), life, ms(0)), tr.Send(request(2), life, ms(0))
+			early, late, broken := tr.Send(request(0), incarnation, ms(0)), tr.Send(request(1), incarnation, ms(0)), tr.Send(request(2), incarnation, ms(0))
 			for _, run := range []*Run{early, late, broken} {
 				tr.Begin(run, ms(5))
 			}
 			tr.Abandon(early, ms(100))
 			tr.Abandon(late, ms(900))
 			tr.Break(broken, ms(1000))
-			id, fs, bs := tr.EngineCrashed(life, ms(1005))
+			id, fs, bs := tr.EngineCrashed(incarnation, ms(1005))
 			for i, b := range bs {
 				if b.Begun != (fs[i] == request(2)) {
 					t.Errorf("request %v: begun is %t", numbered(fs[i:i+1]), b.Begun)
@@ -73,52 +73,52 @@
 			return []tracked{{id, numbered(fs)}}
 		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{1, 2}}}},
 		{"not what has just been answered well elsewhere", func(tr *Tracker) []tracked {
-			tr.Answer(tr.Send(request(0), untold, ms(0)), true, ms(5))
-			tr.Answer(tr.Send(request(1), untold, ms(0)), false, ms(5))
+			tr.Answer(tr.Send(request(0), withoutStart, ms(0)), true, ms(5))
+			tr.Answer(tr.Send(request(1), withoutStart, ms(0)), false, ms(5))
 			for n := range 3 {
-				tr.Break(tr.Send(request(n), life, ms(6)), ms(10))
+				tr.Break(tr.Send(request(n), incarnation, ms(6)), ms(10))
 			}
-			return []tracked{end(tr, life, ms(12))}
+			return []tracked{end(tr, incarnation, ms(12))}
 		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{1, 2}}}},
 		{"a planned end", func(tr *Tracker) []tracked {
-			run := tr.Send(request(0), life, ms(0))
-			tr.SetDraining(life, true, ms(5))
+			run := tr.Send(request(0), incarnation, ms(0))
+			tr.SetDraining(incarnation, true, ms(5))
 			tr.Break(run, ms(10))
-			return []tracked{end(tr, life, ms(15))}
+			return []tracked{end(tr, incarnation, ms(15))}
 		}, []tracked{{}}},
 		{"two ends where starts are not told, once it has begun something between them", func(tr *Tracker) []tracked {
 			var out []tracked
 			for i := range 3 {
 				now := 1000 * i
-				run := tr.Send(request(i), untold, ms(now+1))
+				run := tr.Send(request(i), withoutStart, ms(now+1))
 				if i != 1 {
 					tr.Begin(run, ms(now+2))
 				}
 				tr.Break(run, ms(now+10))
-				out = append(out, end(tr, untold, ms(now+12)))
+				out = append(out, end(tr, withoutStart, ms(now+12)))
 			}
 			return out
 		}, []tracked{{CrashID{Engine: "b"}, []int{0}}, {CrashID{Engine: "b"}, []int{1}}, {CrashID{Engine: "b", N: 1}, []int{2}}}},
 		{"a new start: also what waits, or was given up", func(tr *Tracker) []tracked {
-			tr.Send(request(0), life, ms(0))
-			left := tr.Send(request(1), life, ms(0))
+			tr.Send(request(0), incarnation, ms(0))
+			left := tr.Send(request(1), incarnation, ms(0))
 			tr.Abandon(left, ms(100))
-			early := tr.Send(request(2), life, ms(0))
+			early := tr.Send(request(2), incarnation, ms(0))
 			tr.Abandon(early, ms(10))
-			id, fs, _ := tr.Restart(life, ms(10050))
+			id, fs, _ := tr.Restart(incarnation, ms(10050))
 			return []tracked{{id, numbered(fs)}}
 		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{0, 1}}}},
 		{"a new start: not what never reached the engine", func(tr *Tracker) []tracked {
-			tr.Drop(tr.Send(request(0), life, ms(0)))
-			tr.Send(request(1), life, ms(0))
-			id, fs, _ := tr.Restart(life, ms(50))
+			tr.Drop(tr.Send(request(0), incarnation, ms(0)))
+			tr.Send(request(1), incarnation, ms(0))
+			id, fs, _ := tr.Restart(incarnation, ms(50))
 			return []tracked{{id, numbered(fs)}}
 		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{1}}}},
 		{"a new start after an end that is known", func(tr *Tracker) []tracked {
-			run := tr.Send(request(0), life, ms(0))
+			run := tr.Send(request(0), incarnation, ms(0))
 			tr.Break(run, ms(10))
-			out := []tracked{end(tr, life, ms(12))}
-			id, fs, _ := tr.Restart(life, ms(3000))
+			out := []tracked{end(tr, incarnation, ms(12))}
+			id, fs, _ := tr.Restart(incarnation, ms(3000))
 			return append(out, tracked{id, numbered(fs)})
 		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{0}}, {}}},
 	}
--- a/core/signal/book.go
+++ b/core/signal/registry.go
@@ -20,7 +20,7 @@
 	Limit, Before float64
 	// Draining is true if the endpoint was not known to be draining before and now is.
 	Draining bool
-	// BackoffUntil is the duration of a backoff that begins now; 0 if none begins or one is in force already.
+	// Backoff is the duration of a backoff that begins now; 0 if none begins or one is in force already.
 	Backoff time.Duration
 	// Malformed holds malformed signals that should be reported.
 	Malformed []MalformedError
@@ -40,8 +40,8 @@
 	entryTTL = 10 * time.Minute
 	// drainingTTL is the same for a draining endpoint: longer than any continues to run while it drains.
 	drainingTTL = 24 * time.Hour
-	// damageInterval is the least time between two reports of malformed signals of one endpoint.
-	damageInterval = 10 * time.Second
+	// malformedInterval is the least time between two reports of malformed signals of one endpoint.
+	malformedInterval = 10 * time.Second
 )
 
 // Registry holds the latest signals of all endpoints, as known to one node. It is not safe for concurrent use.
@@ -66,15 +66,15 @@
 	// backoffUntil is when the backoff ends that the endpoint asked of this node, and othersBackoffUntil the same for
 	// any other node.
 	backoffUntil, othersBackoffUntil time.Time
-	// version is the book's version at the latest change.
+	// version is the registry's version at the latest change.
 	version uint64
 	// seenAt is when a signal or a report of the endpoint last arrived.
 	seenAt time.Time
-	// damagedAt is when malformed signals were last reported.
-	damagedAt time.Time
+	// malformedAt is when malformed signals were last reported.
+	malformedAt time.Time
 }
 
-// NewRegistry returns a book without signals.
+// NewRegistry returns a registry without signals.
 func NewRegistry() *Registry { return &Registry{entries: make(map[string]*entry)} }
 
 // entryFor returns the entry of an incarnation. It starts a new one if the incarnation is later than the known one,
@@ -93,8 +93,8 @@
 	return e
 }
 
-// Observe applies the signals of an answer that arrived now to a request that was sent at the time sent, and returns the
-// change.
+// Observe applies the signals of an answer that arrived now to a request that was sent at the time sent, and returns
+// the change.
 func (b *Registry) Observe(l Incarnation, s Signals, sent, now time.Time) Change {
 	b.expire(now)
 	if b.entries[l.Endpoint] == nil && s.empty() {
@@ -106,8 +106,8 @@
 	}
 	e.seenAt = now
 	c := Change{Incarnation: l, Limit: e.limit, Before: e.limit, Draining: s.Draining && !e.draining}
-	if len(s.Malformed) > 0 && now.Sub(e.damagedAt) >= damageInterval {
-		e.damagedAt, c.Malformed = now, s.Malformed
+	if len(s.Malformed) > 0 && now.Sub(e.malformedAt) >= malformedInterval {
+		e.malformedAt, c.Malformed = now, s.Malformed
 	}
 	if until := now.Add(s.Backoff); s.Backoff > 0 && until.After(e.backoffUntil) {
 		if !now.Before(e.backoffUntil) {
@@ -142,7 +142,8 @@
 	return nil
 }
 
-// BackoffUntil returns the end of the backoff that an incarnation asked of this node; a time in the past if there is none.
+// BackoffUntil returns the end of the backoff that an incarnation asked of this node; a time in the past if there is
+// none.
 func (b *Registry) BackoffUntil(l Incarnation) time.Time {
 	if e := b.lookup(l); e != nil {
 		return e.backoffUntil
--- a/core/signal/word.go
+++ b/core/signal/report.go
@@ -13,9 +13,9 @@
 	Incarnation
 	// Limit is in requests per second; 0 if the endpoint no longer names one.
 	Limit float64
-	// At is when an answer last said so.
+	// At is when an answer last stated that limit, or stated none.
 	At time.Time
-	// DrainingIncarnations is true if the incarnation has reported that it is draining.
+	// Draining is true if the incarnation has reported that it is draining.
 	Draining bool
 	// BackoffUntil is the end of the backoff that the endpoint asked of the reporting node; a time in the past if there
 	// is none.
@@ -27,7 +27,7 @@
 // ErrBadReport is returned for a report that no endpoint can have caused.
 var ErrBadReport = errors.New("a report on an endpoint needs its name and a finite limit of 0 or more; leave the report out")
 
-// Check returns ErrBadWord if the endpoint's name is missing or the limit is not a finite number of 0 or more.
+// Check returns ErrBadReport if the endpoint's name is missing or the limit is not a finite number of 0 or more.
 func (w *Report) Check() error {
 	if w.Endpoint == "" || !(w.Limit >= 0) || math.IsInf(w.Limit, 0) {
 		return ErrBadReport
--- a/core/signal/word_test.go
+++ b/core/signal/report_test.go
@@ -10,25 +10,25 @@
 
 // TestMerge checks which reports change what is known at a node that received a limit of 2 at 10 s.
 func TestMerge(t *testing.T) {
-	life := Incarnation{"i-1", 5}
+	incarnation := Incarnation{"i-1", 5}
 	tests := []struct {
-		name string
-		word Report
-		want float64
+		name   string
+		report Report
+		want   float64
 	}{
-		{"a newer limit", Report{Incarnation: life, Limit: 3, At: at(11 * time.Second)}, 3},
-		{"an older limit", Report{Incarnation: life, Limit: 3, At: at(9 * time.Second)}, 2},
-		{"its end, surely later", Report{Incarnation: life, At: at(10*time.Second + maxRelayDelay + 1)}, 0},
-		{"its end, at about the same time", Report{Incarnation: life, At: at(10*time.Second + maxRelayDelay)}, 2},
+		{"a newer limit", Report{Incarnation: incarnation, Limit: 3, At: at(11 * time.Second)}, 3},
+		{"an older limit", Report{Incarnation: incarnation, Limit: 3, At: at(9 * time.Second)}, 2},
+		{"its end, surely later", Report{Incarnation: incarnation, At: at(10*time.Second + maxRelayDelay + 1)}, 0},
+		{"its end, at about the same time", Report{Incarnation: incarnation, At: at(10*time.Second + maxRelayDelay)}, 2},
 		{"the life before", Report{Incarnation: Incarnation{"i-1", 4}, Limit: 3, At: at(11 * time.Second)}, 2},
 		{"another endpoint", Report{Incarnation: Incarnation{"i-2", 5}, Limit: 3, At: at(11 * time.Second)}, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := NewRegistry()
-			b.Observe(life, Signals{Limit: 2, Ran: true}, at(9*time.Second), at(10*time.Second))
-			c := b.Merge(tt.word, at(12*time.Second))
-			if got := b.Limit(life); got != tt.want || c.Changed() != (tt.want != 2 || tt.word.Endpoint == "i-2") {
+			b.Observe(incarnation, Signals{Limit: 2, Ran: true}, at(9*time.Second), at(10*time.Second))
+			c := b.Merge(tt.report, at(12*time.Second))
+			if got := b.Limit(incarnation); got != tt.want || c.Changed() != (tt.want != 2 || tt.report.Endpoint == "i-2") {
 				t.Errorf("limit = %g, want %g; change %+v", got, tt.want, c)
 			}
 		})
@@ -41,13 +41,13 @@
 	one, two := Incarnation{Endpoint: "i-1"}, Incarnation{Endpoint: "i-2"}
 	b.Observe(one, Signals{Limit: 2, Ran: true}, at(0), at(1))
 	b.Observe(two, Signals{Limit: 3, Ran: true}, at(0), at(2))
-	told := b.Version()
+	version := b.Version()
 	b.Observe(two, Signals{Limit: 3, Ran: true}, at(3), at(4))
-	if words := b.Since(told); len(words) != 0 {
-		t.Errorf("nothing changed, but Since returns %v", words)
+	if reports := b.Since(version); len(reports) != 0 {
+		t.Errorf("nothing changed, but Since returns %v", reports)
 	}
 	b.Observe(one, Signals{Ran: true}, at(5), at(6))
-	if diff := cmp.Diff([]Report{{Incarnation: one, At: at(6)}}, b.Since(told)); diff != "" {
+	if diff := cmp.Diff([]Report{{Incarnation: one, At: at(6)}}, b.Since(version)); diff != "" {
 		t.Errorf("reports since (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff([]Report{{Incarnation: one, At: at(6)}, {Incarnation: two, Limit: 3, At: at(4)}}, b.Since(0)); diff != "" {
@@ -74,8 +74,8 @@
 	steps := []struct {
 		name string
 		do   func(b *Registry)
-		// leaves tells for both incarnations whether they are draining afterwards.
-		leaves [2]bool
+		// draining holds for both incarnations whether they are draining afterwards.
+		draining [2]bool
 	}{
 		{"an answer", func(b *Registry) { b.Observe(one, Signals{Ran: true}, at(0), at(1)) }, [2]bool{false, false}},
 		{"its word", func(b *Registry) { b.Observe(one, Signals{Draining: true, Ran: true}, at(1), at(2)) }, [2]bool{true, false}},
@@ -89,7 +89,7 @@
 	b := NewRegistry()
 	for _, s := range steps {
 		s.do(b)
-		if diff := cmp.Diff(s.leaves, [2]bool{b.Draining(one), b.Draining(two)}); diff != "" {
+		if diff := cmp.Diff(s.draining, [2]bool{b.Draining(one), b.Draining(two)}); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", s.name, diff)
 		}
 	}
--- a/core/signal/signal.go
+++ b/core/signal/signal.go
@@ -13,9 +13,9 @@
 	// Limit is the number of requests per second that the endpoint accepts from all nodes together; 0 if the answer
 	// names none.
 	Limit float64
-	// DrainingIncarnations is true if the endpoint is draining: it accepts no new requests until it stops.
+	// Draining is true if the endpoint is draining: it accepts no new requests until it stops.
 	Draining bool
-	// BackoffUntil is how long this node should send the endpoint no requests; 0 if the answer asks for no backoff.
+	// Backoff is how long this node should send the endpoint no requests; 0 if the answer asks for no backoff.
 	Backoff time.Duration
 	// Ran is true if the endpoint ran the request. Only such an answer ends a limit by not naming one.
 	Ran bool
@@ -45,18 +45,18 @@
 // maxBackoff bounds the backoff that an endpoint may ask for.
 const maxBackoff = time.Hour
 
-// BackoffUntil parses the values of a header that holds a backoff in seconds. It returns 0 if the header is absent, and 0
-// with the damage if it is malformed.
-func ParseBackoff(name string, values []string) (rest time.Duration, damage *MalformedError) {
-	seconds, damage := parseNumber(name, values, fmt.Sprintf("a number of seconds from 0 to %v", maxBackoff.Seconds()), func(v float64) bool {
+// ParseBackoff parses the values of a header that holds a backoff in seconds. It returns 0 if the header is absent, and
+// 0 with an error if it is malformed.
+func ParseBackoff(name string, values []string) (backoff time.Duration, malformed *MalformedError) {
+	seconds, malformed := parseNumber(name, values, fmt.Sprintf("a number of seconds from 0 to %v", maxBackoff.Seconds()), func(v float64) bool {
 		return v >= 0 && v <= maxBackoff.Seconds()
 	})
-	return time.Duration(seconds * float64(time.Second)), damage
+	return time.Duration(seconds * float64(time.Second)), malformed
 }
 
 // ParseNumber parses the values of a header that holds one number above 0. It returns 0 if the header is absent, and 0
-// with the damage if it is malformed.
-func ParseNumber(name string, values []string) (v float64, damage *MalformedError) {
+// with an error if it is malformed.
+func ParseNumber(name string, values []string) (v float64, malformed *MalformedError) {
 	return parseNumber(name, values, "one number above 0", func(v float64) bool { return v > 0 && !math.IsInf(v, 0) })
 }
 
--- a/core/signal/signal_test.go
+++ b/core/signal/signal_test.go
@@ -13,11 +13,11 @@
 
 func TestNumber(t *testing.T) {
 	tests := []struct {
-		name    string
-		values  []string
-		want    float64
-		ok      bool
-		damaged string
+		name      string
+		values    []string
+		want      float64
+		ok        bool
+		malformed string
 	}{
 		{"absent", nil, 0, false, ""},
 		{"a number", []string{"1.8"}, 1.8, true, ""},
@@ -32,14 +32,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, damage := ParseNumber("H", tt.values)
+			got, malformed := ParseNumber("H", tt.values)
 			ok := got > 0
 			text := ""
-			if damage != nil {
-				text = damage.Error()
+			if malformed != nil {
+				text = malformed.Error()
 			}
-			if got != tt.want || ok != tt.ok || text != tt.damaged {
-				t.Errorf("Number = %v, %t, %q; want %v, %t, %q", got, ok, text, tt.want, tt.ok, tt.damaged)
+			if got != tt.want || ok != tt.ok || text != tt.malformed {
+				t.Errorf("ParseNumber = %v, %t, %q; want %v, %t, %q", got, ok, text, tt.want, tt.ok, tt.malformed)
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 	steps := []struct {
 		name      string
 		of        Incarnation
-		said      Signals
+		signals   Signals
 		sent, now time.Duration
 		// limits holds the limits of both incarnations afterwards.
 		limits [2]float64
@@ -74,7 +74,7 @@
 	}
 	b := NewRegistry()
 	for _, s := range steps {
-		c := b.Observe(s.of, s.said, at(s.sent), at(s.now))
+		c := b.Observe(s.of, s.signals, at(s.sent), at(s.now))
 		if diff := cmp.Diff([2]float64{b.Limit(one), b.Limit(two)}, s.limits); diff != "" || c.Changed() != s.change {
 			t.Errorf("%s: change = %t, want %t; limits (-got +want):\n%s", s.name, c.Changed(), s.change, diff)
 		}
@@ -85,20 +85,20 @@
 func TestDamageReportsLimited(t *testing.T) {
 	b, reports := NewRegistry(), 0
 	s := Signals{Ran: true, Malformed: []MalformedError{{Name: "H", Value: "x"}}}
-	for d := time.Duration(0); d < 3*damageInterval; d += damageInterval / 20 {
+	for d := time.Duration(0); d < 3*malformedInterval; d += malformedInterval / 20 {
 		reports += len(b.Observe(Incarnation{Endpoint: "i-1"}, s, at(d), at(d)).Malformed)
 	}
 	if reports != 3 {
-		t.Errorf("%d reports in 3 periods of %v, want 3", reports, damageInterval)
+		t.Errorf("%d reports in 3 periods of %v, want 3", reports, malformedInterval)
 	}
 }
 
 func TestRest(t *testing.T) {
 	tests := []struct {
-		name    string
-		values  []string
-		want    time.Duration
-		damaged bool
+		name      string
+		values    []string
+		want      time.Duration
+		malformed bool
 	}{
 		{"absent", nil, 0, false},
 		{"seconds", []string{"3"}, 3 * time.Second, false},
@@ -113,8 +113,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got, damage := ParseBackoff("H", tt.values); got != tt.want || (damage != nil) != tt.damaged {
-				t.Errorf("Rest = %v, %v; want %v, damaged %t", got, damage, tt.want, tt.damaged)
+			if got, malformed := ParseBackoff("H", tt.values); got != tt.want || (malformed != nil) != tt.malformed {
+				t.Errorf("ParseBackoff = %v, %v; want %v, malformed %t", got, malformed, tt.want, tt.malformed)
 			}
 		})
 	}
@@ -123,29 +123,29 @@
 // TestOverlappingBackoffs checks when overlapping backoffs of an endpoint end, and that a backoff asked of another
 // node only affects the endpoint's capacity.
 func TestOverlappingBackoffs(t *testing.T) {
-	life := Incarnation{"i-1", 1}
+	incarnation := Incarnation{"i-1", 1}
 	b := NewRegistry()
-	hear := func(rest, now time.Duration) bool {
-		return b.Observe(life, Signals{Backoff: rest}, at(now), at(now)).Backoff > 0
+	observe := func(backoff, now time.Duration) bool {
+		return b.Observe(incarnation, Signals{Backoff: backoff}, at(now), at(now)).Backoff > 0
 	}
-	if !hear(3*time.Second, 0) || hear(time.Second, time.Second) {
+	if !observe(3*time.Second, 0) || observe(time.Second, time.Second) {
 		t.Error("a backoff within a backoff is reported as a new one")
 	}
-	if got := b.BackoffUntil(life); !got.Equal(at(3 * time.Second)) {
+	if got := b.BackoffUntil(incarnation); !got.Equal(at(3 * time.Second)) {
 		t.Errorf("a shorter backoff ends it at %v", got.Sub(start))
 	}
-	hear(3*time.Second, 2*time.Second)
-	if got := b.BackoffUntil(life); !got.Equal(at(5 * time.Second)) {
+	observe(3*time.Second, 2*time.Second)
+	if got := b.BackoffUntil(incarnation); !got.Equal(at(5 * time.Second)) {
 		t.Errorf("a longer backoff ends at %v, want 5s", got.Sub(start))
 	}
 	other := NewRegistry()
 	for _, w := range b.Since(0) {
 		other.Merge(w, at(2*time.Second))
 	}
-	if got := other.BackoffUntil(life); got.After(at(2 * time.Second)) {
+	if got := other.BackoffUntil(incarnation); got.After(at(2 * time.Second)) {
 		t.Error("another node's backoff binds this one")
 	}
-	if got := [2]float64{other.Capacities(at(4 * time.Second)).Of(life), other.Capacities(at(6 * time.Second)).Of(life)}; got != [2]float64{backoffCapacity, 0} {
+	if got := [2]float64{other.Capacities(at(4 * time.Second)).Of(incarnation), other.Capacities(at(6 * time.Second)).Of(incarnation)}; got != [2]float64{backoffCapacity, 0} {
 		t.Errorf("capacity during the backoff and after it = %v", got)
 	}
 }
--- a/internal/isolation/guard.go
+++ b/internal/isolation/guard.go
@@ -149,31 +149,31 @@
 func (g *Guard) recordCrash(incarnation quarantine.Incarnation, end func(quarantine.Incarnation, time.Time) (quarantine.CrashID, []quarantine.Fingerprint, []quarantine.Suspicion)) {
 	g.mu.Lock()
 	now := g.o.Clock.Now()
-	id, requests, blames := end(incarnation, now)
+	id, requests, suspicions := end(incarnation, now)
 	if id == (quarantine.CrashID{}) {
 		g.mu.Unlock()
 		return
 	}
 	g.registry.RecordCrash(id, now)
-	transitioned := g.registry.Suspect(requests, blames, now)
+	transitioned := g.registry.Suspect(requests, suspicions, now)
 	g.mu.Unlock()
 	g.Metrics.Ended.Add(1)
 	g.o.Logger.Info("engine crashed", "engine", incarnation.Engine, "born", incarnation.Start, "running", len(requests))
-	g.announce(requests, blames, transitioned)
+	g.announce(requests, suspicions, transitioned)
 }
 
 // maxLogLines bounds the log lines for one crash: an engine may run hundreds of requests.
 const maxLogLines = 8
 
 // announce logs suspicions and the resulting states, and notifies the other nodes.
-func (g *Guard) announce(requests []quarantine.Fingerprint, blames []quarantine.Suspicion, transitioned []quarantine.Fingerprint) {
+func (g *Guard) announce(requests []quarantine.Fingerprint, suspicions []quarantine.Suspicion, transitioned []quarantine.Fingerprint) {
 	for i, f := range requests {
 		if i == maxLogLines {
 			g.o.Logger.Info("further suspects of the crash not logged", "count", len(requests)-maxLogLines)
 			break
 		}
-		g.logStatus("request suspected of an engine crash", f, "engine", blames[i].End.Engine, "born", blames[i].End.Start,
-			"ranMs", blames[i].Elapsed.Milliseconds(), "begun", blames[i].Begun, "beside", len(requests)-1)
+		g.logStatus("request suspected of an engine crash", f, "engine", suspicions[i].End.Engine, "born", suspicions[i].End.Start,
+			"ranMs", suspicions[i].Elapsed.Milliseconds(), "begun", suspicions[i].Begun, "beside", len(requests)-1)
 	}
 	g.Metrics.Blamed.Add(int64(len(requests)))
 	g.scheduleEvaluation()
@@ -203,8 +203,8 @@
 	}, args...)...)
 }
 
-// EngineSeen records an engine's published entry, and whether it is draining. A later start time than before means that the
-// former incarnation has crashed.
+// EngineSeen records an engine's published entry, and whether it is draining. A later start time than before means that
+// the former incarnation has crashed.
 func (g *Guard) EngineSeen(incarnation quarantine.Incarnation, draining bool) {
 	g.mu.Lock()
 	former, known := g.startTimes[incarnation.Engine]
@@ -231,7 +231,7 @@
 	g.registry.SetEngines(n)
 }
 
-// SetComplete sets whether the blames of all nodes arrive here.
+// SetComplete sets whether the suspicions of all nodes arrive here.
 func (g *Guard) SetComplete(complete bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -249,7 +249,7 @@
 	}
 }
 
-// scheduleEvaluation calls Judge once the latest crashes have settled.
+// scheduleEvaluation calls Evaluate once the latest crashes have settled.
 func (g *Guard) scheduleEvaluation() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/isolation/guard_test.go
+++ b/internal/isolation/guard_test.go
@@ -37,8 +37,8 @@
 	return run.ConnectionBroke(t.Context())
 }
 
-// TestBrokenConnection guards against requests that are blamed for a broken connection while the engine is still
-// running.
+// TestBrokenConnection guards against requests that are suspected because of a broken connection while the engine is
+// still running.
 func TestBrokenConnection(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -53,7 +53,7 @@
 			g := testGuard(clockwork.NewFakeClock(), func() bool { return test.refused })
 			g.SetEngines(9)
 			if ended := breakConnection(t, g, "/a", "e"); ended != test.refused {
-				t.Errorf("Broke returned %t", ended)
+				t.Errorf("ConnectionBroke returned %t", ended)
 			}
 			if diff := cmp.Diff(test.want.String(), g.State(fingerprint("/a")).String()); diff != "" {
 				t.Errorf("state (-want +got):\n%s", diff)
@@ -145,7 +145,7 @@
 	}
 }
 
-// TestRestartsNotBlamedOnUnsent guards against blaming restarts of engines on a request that never reached them: four
+// TestRestartsNotBlamedOnUnsent guards against suspecting a request of crashes of engines that it never reached: four
 // engines that had crashed under another request refused the connections of a harmless one, which was quarantined
 // when all four had restarted.
 func TestRestartsNotBlamedOnUnsent(t *testing.T) {
--- a/internal/isolation/run.go
+++ b/internal/isolation/run.go
@@ -20,8 +20,8 @@
 // exitDelay is how long a terminating process may take from the first closed connection to closing its listener.
 const exitDelay = 20 * time.Millisecond
 
-// Run is one attempt of a request at an engine. The first call of Answered, NotSent, Left or Broke ends it; later calls
-// have no effect.
+// Run is one attempt of a request at an engine. The first call of Answered, NotSent, Abandoned or ConnectionBroke ends
+// it; later calls have no effect.
 type Run struct {
 	g           *Guard
 	run         *quarantine.Run
@@ -76,7 +76,7 @@
 	g.EndTrial(r.request)
 }
 
-// NotSent records that nothing of the request reached the endpoint, so that no crash of it is blamed on the request.
+// NotSent records that nothing of the request reached the endpoint, so that the request is not suspected of a crash.
 // Otherwise a harmless request whose connections four crashed engines refused would be quarantined when they restart.
 func (r *Run) NotSent() {
 	if r.finished {
@@ -101,7 +101,8 @@
 	r.g.EndTrial(r.request)
 }
 
-// ConnectionBroke records that the connection broke, probes the engine, and reports whether it is known to have crashed.
+// ConnectionBroke records that the connection broke, probes the engine, and reports whether it is known to have
+// crashed.
 func (r *Run) ConnectionBroke(ctx context.Context) (crashed bool) {
 	if r.finished {
 		return false
@@ -111,10 +112,10 @@
 	defer g.EndTrial(r.request)
 	g.mu.Lock()
 	now := g.o.Clock.Now()
-	if blame, known := g.tracker.Break(r.run, now); known {
-		transitioned := g.registry.Suspect([]quarantine.Fingerprint{r.request}, []quarantine.Suspicion{blame}, now)
+	if suspicion, known := g.tracker.Break(r.run, now); known {
+		transitioned := g.registry.Suspect([]quarantine.Fingerprint{r.request}, []quarantine.Suspicion{suspicion}, now)
 		g.mu.Unlock()
-		g.announce([]quarantine.Fingerprint{r.request}, []quarantine.Suspicion{blame}, transitioned)
+		g.announce([]quarantine.Fingerprint{r.request}, []quarantine.Suspicion{suspicion}, transitioned)
 		return true
 	}
 	done, probing := g.probes[r.incarnation]
--- a/internal/isolation/turn.go
+++ b/internal/isolation/runlock.go
@@ -29,9 +29,9 @@
 	ReleaseRun(f quarantine.Fingerprint, run string, answered bool)
 }
 
-// AcquireRun waits until a copy of a request may run; a request that is not isolated does not wait. The returned function
-// must be called when the run is over. The error is a refusal if the request is blocked or the lock is not free
-// within lockTimeout, or the context's error.
+// AcquireRun waits until a copy of a request may run; a request that is not isolated does not wait. The returned
+// function must be called when the run is over. The error is a refusal if the request is blocked or the lock is not
+// free within lockTimeout, or the context's error.
 func (g *Guard) AcquireRun(ctx context.Context, f quarantine.Fingerprint) (release func(answered bool), err error) {
 	run := strconv.FormatInt(g.runSeq.Add(1), 10)
 	until := g.o.Clock.Now().Add(lockTimeout)
--- a/internal/isolation/turn_test.go
+++ b/internal/isolation/runlock_test.go
@@ -35,14 +35,14 @@
 
 // newIsolatingGuards returns guards of several nodes at which a request is isolated.
 func newIsolatingGuards(clock clockwork.Clock, nodes int, f quarantine.Fingerprint) []*Guard {
-	turns := &sharedLocks{clock: clock, locks: quarantine.NewRunLocks()}
-	blame := []quarantine.Suspicion{{End: quarantine.CrashID{Engine: "e"}, Elapsed: 40 * time.Millisecond, Begun: true, At: clock.Now()}}
+	locks := &sharedLocks{clock: clock, locks: quarantine.NewRunLocks()}
+	suspicions := []quarantine.Suspicion{{End: quarantine.CrashID{Engine: "e"}, Elapsed: 40 * time.Millisecond, Begun: true, At: clock.Now()}}
 	var guards []*Guard
 	for range nodes {
-		g := New(Options{Clock: clock, Logger: hclog.NewNullLogger(), Turns: turns})
+		g := New(Options{Clock: clock, Logger: hclog.NewNullLogger(), Turns: locks})
 		g.SetComplete(false)
 		g.SetEngines(9)
-		g.Merge([]quarantine.Entry{{Request: f, At: clock.Now(), Suspicions: blame}}, "holder")
+		g.Merge([]quarantine.Entry{{Request: f, At: clock.Now(), Suspicions: suspicions}}, "holder")
 		guards = append(guards, g)
 	}
 	return guards
