--- a/core/placement/backoff.go
+++ b/core/placement/backoff.go
@@ -4,9 +4,9 @@
 
 // Backoff of the loads of a model under which engines crash.
 const (
-	// crashesBeforeBackoff is how many engines in a row may end while they load a model before
-	// its loads are delayed. Three by coincidence are rare, and each engine takes its other
-	// models down with it.
+	// crashesBeforeBackoff is how many engines in a row may crash while they load a model before
+	// its loads are delayed. Three by coincidence are rare, and with each engine its other
+	// models become unavailable.
 	crashesBeforeBackoff = 3
 	// crashDetectionTime is how long after the end of a load the crash of its engine may be
 	// noticed: directory entries expire after three missed heartbeats, which takes some
@@ -17,8 +17,8 @@
 	maxBackoff     = 10 * time.Minute
 )
 
-// recordCrash records that an engine ended without draining. If it was loading a model, the
-// load may be the cause. Without a bound the load was ordered at one engine after the other and
+// recordCrash records that an engine crashed: it ended without draining. If it was loading a model, the
+// load may be the cause. Without a backoff the load was ordered at one engine after the other and
 // crashed all eight within a second (TestLoadBackoff).
 func (p *Planner) recordCrash(e *engine, now time.Time) {
 	w := e.work
@@ -40,7 +40,7 @@
 // LoadBackoff is a model whose loads are delayed because engines crashed under them.
 type LoadBackoff struct {
 	Unit Unit
-	// Crashes counts the engines that ended in a row while they loaded the model.
+	// Crashes counts the engines that crashed in a row while they loaded the model.
 	Crashes int
 	// Backoff is the length of the backoff.
 	Backoff time.Duration
--- a/core/placement/backoff_test.go
+++ b/core/placement/backoff_test.go
@@ -12,7 +12,7 @@
 
 // TestLoadBackoff checks that a load under which engines crash is not ordered at one engine
 // after the other. A model version that crashes every engine was ordered again at another
-// engine as soon as the directory entry of the last one had gone; all eight crashed within a
+// engine as soon as the directory entry of the last one was removed; all eight crashed within a
 // second.
 func TestLoadBackoff(t *testing.T) {
 	all := func(alive []string) []*directory.Entry {
@@ -44,7 +44,7 @@
 					break
 				}
 			}
-			// The engine ends at once; its entry goes a little later.
+			// The engine crashes at once; its entry is removed a little later.
 			p.SetEngines(all(alive), at(ms+50))
 		}
 	}
--- a/core/placement/capacity.go
+++ b/core/placement/capacity.go
@@ -27,7 +27,7 @@
 	drainTime time.Duration
 }
 
-// price returns the cost of an eviction in late requests a second. The second term charges the
+// price returns the cost of an eviction in late requests a second. The second term counts the
 // drain time twice: while an unload waits for running requests, the model that needs the memory
 // is not served, and the engine can do nothing else. Without it, an eviction with running
 // requests and little loss was chosen before idle ones with slightly more loss.
--- a/core/placement/copyset_test.go
+++ b/core/placement/copyset_test.go
@@ -18,7 +18,7 @@
 		name     string
 		reported []string
 		loads    []string
-		room     float64
+		spaceMB  float64
 		want     []string
 	}{
 		{"room for all", []string{"a"}, []string{"b"}, 120, []string{"a", "b"}},
@@ -32,7 +32,7 @@
 			s := make(copySet)
 			s.sync(tt.reported)
 			for i, m := range tt.loads {
-				s.add(m, at(i), tt.room, size)
+				s.add(m, at(i), tt.spaceMB, size)
 			}
 			var got []string
 			for m := range s {
--- a/core/placement/engine.go
+++ b/core/placement/engine.go
@@ -184,7 +184,7 @@
 	return n
 }
 
-// freeMB returns the memory for weights, in MB, that is neither used nor promised to a load in
+// freeMB returns the memory for weights, in MB, that is neither used nor reserved for a load in
 // progress.
 func (e *engine) freeMB(t *route.Table) float64 {
 	free := e.config.WeightsMB
--- a/core/placement/model.go
+++ b/core/placement/model.go
@@ -26,7 +26,7 @@
 	waiting, running int
 	runningAt        map[string]int
 	peak             peak
-	// loadCrashes counts the engines that ended in a row while they loaded the model; no load
+	// loadCrashes counts the engines that crashed in a row while they loaded the model; no load
 	// is ordered before backoffUntil.
 	loadCrashes  int
 	backoffUntil time.Time
--- a/core/placement/order.go
+++ b/core/placement/order.go
@@ -18,7 +18,7 @@
 	// Taken is the number of orders that the engine must have taken before this one; an engine
 	// with another count refuses the order.
 	Taken int64
-	// Reason is the reason for the order, Facts the statistics of its model, and Books what the
+	// Reason is the reason for the order, ModelStats the statistics of its model, and EngineStats what the
 	// planner knew of the engine when it decided; all three are for logs only.
 	Reason      string
 	ModelStats  ModelStats
@@ -47,7 +47,7 @@
 
 // EngineStats describe what the planner knew of an engine when it decided an order.
 type EngineStats struct {
-	// FreeMB is the memory for weights, in MB, that is neither used nor promised to a load.
+	// FreeMB is the memory for weights, in MB, that is neither used nor reserved for a load.
 	FreeMB float64
 	// Models and Adapters count what the engine held or was loading, including adapters of a
 	// model whose unload is unconfirmed.
@@ -120,7 +120,7 @@
 	directory.Holdings
 }
 
-// Adapters returns the number of loaded adapters; those in Coming are not counted.
+// Adapters returns the number of loaded adapters; those in LoadingAdapters are not counted.
 func (r *Report) Adapters() int {
 	n := 0
 	for _, h := range r.Models {
@@ -140,7 +140,7 @@
 	// Objective is the least latency objective among the arrivals; 0 if none has one.
 	Objective time.Duration
 	// NextDue is the next deadline by which a waiting request needs an engine, or a past
-	// deadline if all have passed. Last is the latest deadline. Both are zero if no request
+	// deadline if all have passed. LastDue is the latest deadline. Both are zero if no request
 	// waits.
 	NextDue, LastDue time.Time
 	// RunningAt counts the running requests by engine id.
--- a/core/placement/planner.go
+++ b/core/placement/planner.go
@@ -64,9 +64,9 @@
 	// formerHolderUntil is until when engines may still carry out orders of a former lease
 	// holder.
 	formerHolderUntil time.Time
-	// restarts holds the engine restarts not yet returned by StartedAgain.
+	// restarts holds the engine restarts not yet returned by Restarts.
 	restarts []Restart
-	// backoffs holds the load backoffs not yet returned by Resting.
+	// backoffs holds the load backoffs not yet returned by LoadBackoffs.
 	backoffs []LoadBackoff
 	fence    uint64
 	// fenced is set once an engine has refused an order because it has seen a higher fencing
--- a/core/placement/restarts_test.go
+++ b/core/placement/restarts_test.go
@@ -26,9 +26,9 @@
 		name  string
 		start directory.Start
 		event func(p *Planner)
-		// ends is whether the state is invalidated, known whether orders may be given at once.
-		ends, known bool
-		taken       int64
+		// invalidated is whether the state is invalidated, known whether orders may be given at once.
+		invalidated, known bool
+		taken              int64
 	}{
 		{"the list tells a later start", 2000, listed(3000), true, false, 0},
 		{"the list tells an earlier start", 2000, listed(1000), false, true, 3},
@@ -49,8 +49,8 @@
 			tt.event(p)
 			e := p.engines["e"]
 			got := []any{len(p.Restarts()) > 0, e.known, e.taken}
-			if diff := cmp.Diff([]any{tt.ends, tt.known, tt.taken}, got); diff != "" {
-				t.Errorf("ends, known, taken (-want +got):\n%s", diff)
+			if diff := cmp.Diff([]any{tt.invalidated, tt.known, tt.taken}, got); diff != "" {
+				t.Errorf("invalidated, known, taken (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/core/placement/usage.go
+++ b/core/placement/usage.go
@@ -145,7 +145,7 @@
 	return p.value
 }
 
-// Usage records a node's usage report. A report is complete: units that it does not name have no
+// RecordUsage records a node's usage report. A report is complete: units that it does not name have no
 // requests at that node.
 func (p *Planner) RecordUsage(node string, reports []Usage, now time.Time) {
 	n := p.nodes[node]
--- a/core/placement/work.go
+++ b/core/placement/work.go
@@ -31,7 +31,7 @@
 	fromStore bool
 	expected  time.Time
 	// timed work is assumed to have ended at its expected time; for other work a report must
-	// say so. Reports are some hundred milliseconds old, which is as long as a load from host
+	// confirm that. Reports are some hundred milliseconds old, which is as long as a load from host
 	// memory takes.
 	timed bool
 	// refused counts the orders that the engine refused since the work was assumed to have
--- a/core/placement/work_test.go
+++ b/core/placement/work_test.go
@@ -34,26 +34,26 @@
 	if got := orders(p.Plan(at(20), 1)); got != nil {
 		t.Errorf("orders while the unload is in progress: %v", got)
 	}
-	gone := at(12).Add(unloadTime + endSlack)
-	if got := p.WakeAt(); !got.Equal(gone) {
-		t.Errorf("WakeAt = %v after the start, want %v", got.Sub(start), gone.Sub(start))
+	unloaded := at(12).Add(unloadTime + endSlack)
+	if got := p.WakeAt(); !got.Equal(unloaded) {
+		t.Errorf("WakeAt = %v after the start, want %v", got.Sub(start), unloaded.Sub(start))
 	}
-	actions := p.Plan(gone, 1)
+	actions := p.Plan(unloaded, 1)
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m2", false, false}}, orders(actions)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
 	}
-	p.HandleReply(actions[0].Order, Accepted, gone)
-	there := gone.Add(800*time.Millisecond + endSlack)
-	p.Plan(there, 1)
-	if diff := cmp.Diff(map[string][]Unit{"e1": {unit("m1"), unit("m2")}}, p.Serving(there)); diff != "" {
+	p.HandleReply(actions[0].Order, Accepted, unloaded)
+	loadEnd := unloaded.Add(800*time.Millisecond + endSlack)
+	p.Plan(loadEnd, 1)
+	if diff := cmp.Diff(map[string][]Unit{"e1": {unit("m1"), unit("m2")}}, p.Serving(loadEnd)); diff != "" {
 		t.Errorf("Serving (-want +got):\n%s", diff)
 	}
 	// A report from before the expected end changes nothing; a later one decides.
-	p.HandleReport("e1", &Report{Taken: 2, Busy: true, Holdings: directory.Holdings{Models: heldList("m1")}}, there, there)
-	if got := len(p.Serving(there)["e1"]); got != 2 {
+	p.HandleReport("e1", &Report{Taken: 2, Busy: true, Holdings: directory.Holdings{Models: heldList("m1")}}, loadEnd, loadEnd)
+	if got := len(p.Serving(loadEnd)["e1"]); got != 2 {
 		t.Errorf("%d units after an old report, want 2", got)
 	}
-	late := there.Add(maxReportAge)
+	late := loadEnd.Add(maxReportAge)
 	p.HandleReport("e1", &Report{Taken: 2, Busy: true, Holdings: directory.Holdings{Models: heldList("m1")}}, late, late)
 	if diff := cmp.Diff(map[string][]Unit{"e1": {unit("m1")}}, p.Serving(late)); diff != "" {
 		t.Errorf("Serving after a report that the load goes on (-want +got):\n%s", diff)
@@ -166,20 +166,20 @@
 	p.RecordUsage("n", []Usage{waitingUse(unit("m0"), 500)}, at(10))
 	load := p.Plan(at(10), 1)
 	p.HandleReply(load[0].Order, Accepted, at(12))
-	there := at(12).Add(800*time.Millisecond + endSlack)
-	p.RecordUsage("n", []Usage{waitingUse(adapter("a1"), 900)}, there)
-	first := p.Plan(there, 1)
+	loadEnd := at(12).Add(800*time.Millisecond + endSlack)
+	p.RecordUsage("n", []Usage{waitingUse(adapter("a1"), 900)}, loadEnd)
+	first := p.Plan(loadEnd, 1)
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m0/a1", false, false}}, orders(first)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
 	}
-	p.HandleReply(first[len(first)-1].Order, Accepted, there)
-	p.RecordUsage("n", []Usage{waitingUse(adapter("a2"), 900)}, there)
-	second := p.Plan(there.Add(adapterLoadTime), 1)
+	p.HandleReply(first[len(first)-1].Order, Accepted, loadEnd)
+	p.RecordUsage("n", []Usage{waitingUse(adapter("a2"), 900)}, loadEnd)
+	second := p.Plan(loadEnd.Add(adapterLoadTime), 1)
 	if diff := cmp.Diff([]orderSummary{{"e1", "unit/s/m0/a2", false, false}}, orders(second)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
 	}
-	p.HandleReply(second[len(second)-1].Order, Conflict, there.Add(adapterLoadTime))
-	later := there.Add(time.Second)
+	p.HandleReply(second[len(second)-1].Order, Conflict, loadEnd.Add(adapterLoadTime))
+	later := loadEnd.Add(time.Second)
 	p.Plan(later, 1)
 	if got := p.engines["e1"].adapters(); got == 0 {
 		t.Error("the adapter that the engine took is missing from its state")
--- a/core/quota/purse.go
+++ b/core/quota/allowance.go
@@ -9,10 +9,10 @@
 	"olivetiller/core/customer"
 )
 
-// Durations that a purse uses.
+// Durations that an allowance uses.
 const (
-	// creditTTL is how long a node may hold granted units. They are spent up to this much later than they are granted, so a
-	// window of time may also contain units that were granted up to this long before it.
+	// creditTTL is how long a node may hold granted units. They are spent up to this much later than they are granted,
+	// so a window of time may also contain units that were granted up to this long before it.
 	creditTTL = 200 * time.Millisecond
 	// prefetchWindow is the time for which a node requests units in advance, by its own usage, so that many requests
 	// of one customer at one node cost only a few grant requests per second.
@@ -42,17 +42,17 @@
 	NeedsGrant
 	// OverLimit: the request exceeds the limit and is refused.
 	OverLimit
-	// ShareUnknown: the request is refused because the node's share is not known: it is partitioned and has had no answer
-	// from a granter for PartitionedTTL.
+	// ShareUnknown: the request is refused because the node's share is not known: it is partitioned and has had no
+	// answer from a granter for PartitionedTTL.
 	ShareUnknown
 )
 
 // Decision is a step with its parameters.
 type Decision struct {
 	Step Step
-	// Prefetch is how many units to request beyond the request's need; set with AskFor.
+	// Prefetch is how many units to request beyond the request's need; set with NeedsGrant.
 	Prefetch float64
-	// RetryAfter is the delay after which to retry; set with Over and Unknown.
+	// RetryAfter is the delay after which to retry; set with OverLimit and ShareUnknown.
 	RetryAfter time.Duration
 }
 
@@ -90,7 +90,7 @@
 	threshold float64
 }
 
-// NewAllowance returns the purse of a node's process, which has had no answer yet. The incarnation identifies the
+// NewAllowance returns the allowance of a node's process, which has had no answer yet. The incarnation identifies the
 // process.
 func NewAllowance(incarnation string, tolerance Tolerance) *Allowance {
 	return &Allowance{incarnation: incarnation, tolerance: tolerance, accounts: make(map[string]*account)}
@@ -102,7 +102,8 @@
 // Partitioned reports whether the node is partitioned from the granter and spends its own share.
 func (p *Allowance) Partitioned() bool { return !p.partitionedSince.IsZero() }
 
-// Answered records an answer, with the number of nodes that it told, to a grant request that was sent at the given time.
+// Answered records an answer, with the number of nodes that it stated, to a grant request that was sent at the given
+// time.
 func (p *Allowance) Answered(sent time.Time, members int) {
 	p.members, p.partitionedSince = members, time.Time{}
 	if sent.After(p.answeredAt) {
@@ -229,7 +230,7 @@
 	a.refuseUntil = time.Time{}
 }
 
-// Refused records that the granter refused need units until after has passed.
+// Refused records that the granter refused need units; after is the delay until they will be available.
 func (p *Allowance) Refused(name string, need float64, after time.Duration, now time.Time) {
 	a := p.account(name)
 	a.refuseUntil, a.refuseNeed, a.retryAfter = now.Add(min(after, maxLocalRefusal)), need, after
--- a/core/quota/bound.go
+++ b/core/quota/bound.go
@@ -14,7 +14,7 @@
 	// PartitionedBurst the total in units with which their buckets start.
 	PartitionedRate, PartitionedBurst float64
 	// MinNodes is the least number of nodes over which a partitioned node divides the bound. If it is 0, only a
-	// granter's answer tells the number, and it must not be older than [PartitionedTTL].
+	// granter's answer states the number, and it must not be older than [PartitionedTTL].
 	MinNodes int
 }
 
@@ -30,8 +30,8 @@
 	Share, Slack float64
 }
 
-// ColdGrantTTL is how long after its grant request was sent a grant for a cold endpoint is valid. It keeps machines that
-// were suspended and resume together from sending everything that was granted before at once.
+// ColdGrantTTL is how long after its grant request was sent a grant for a cold endpoint is valid. It keeps machines
+// that were suspended and resume together from sending everything that was granted before at once.
 const ColdGrantTTL = 300 * time.Millisecond
 
 // Fractions of the requests that a cold endpoint may get in one second. Two granters at once must fit: a node that
--- a/core/quota/doc.go
+++ b/core/quota/doc.go
@@ -9,14 +9,14 @@
 // Every limit is therefore divided into equal shares, one per node, and each share is spent in one place at a time. A
 // node that reaches a granter (is attached) leaves its share to it: the [Granter] has one token bucket per customer,
 // which is refilled with the shares of the nodes that contacted it within [AttachmentTTL], and grants are charged
-// there. A node that gets no answer is partitioned: it spends its own share from its [Allowance], and says so in its next
-// message. So no share is spent twice by two granters at once, or by a granter and nodes cut off from it, whichever
-// of them holds the role. Only a node that moves from one granter to another counts at both, for at most
+// there. A node that gets no answer is partitioned: it spends its own share from its [Allowance], and reports that in
+// its next message. So no share is spent twice by two granters at once, or by a granter and nodes cut off from it,
+// whichever of them holds the role. Only a node that moves from one granter to another counts at both, for at most
 // [AttachmentTTL].
 //
 // A new granter starts with empty buckets, because it does not know what its predecessor granted.
 //
-// The package is used by the node's controller, which carries grant requests between purses and the granter. It is
+// The package is used by the node's controller, which carries grant requests between allowances and the granter. It is
 // designed for 71 nodes and 16 customers with limits from 4 to 100 requests per second, one of which sends many times
 // its usual load while the granter is killed or cut off.
 package quota
--- a/core/quota/endpoint_test.go
+++ b/core/quota/endpoint_test.go
@@ -34,10 +34,10 @@
 
 // simNode is a node that sends a request to one endpoint whenever it may.
 type simNode struct {
-	purse *Allowance
+	allowance *Allowance
 	// granter is set while the node has the granter's role.
 	granter *Granter
-	// granterIndex is the index of the node that this node believes to be the granter.
+	// granterIndex is the index of the node that this node takes for the granter.
 	granterIndex int
 	blockedUntil time.Time
 	// requestedAt is when the pending grant request was sent, and answerAt when its answer or timeout comes; both
@@ -93,7 +93,7 @@
 func (s *simDeployment) restart(i int) {
 	s.incarnations++
 	old := s.nodes[i]
-	*old = simNode{purse: NewAllowance(strconv.Itoa(s.incarnations), Tolerance{}), granterIndex: old.granterIndex, island: old.island, disturbedAt: s.now, reportAt: s.now.Add(s.randomBetween(0, simReportInterval))}
+	*old = simNode{allowance: NewAllowance(strconv.Itoa(s.incarnations), Tolerance{}), granterIndex: old.granterIndex, island: old.island, disturbedAt: s.now, reportAt: s.now.Add(s.randomBetween(0, simReportInterval))}
 }
 
 // makeGranter makes a node the granter; all nodes of its island see that at once.
@@ -140,7 +140,7 @@
 	}
 	name := strconv.Itoa(i)
 	if g := s.reachableGranter(n); g != nil && !s.now.Before(n.reportAt) {
-		g.Observe(name, n.purse.Partitioned(), s.now)
+		g.Observe(name, n.allowance.Partitioned(), s.now)
 		n.reportAt = s.now.Add(s.randomBetween(simReportInterval/4, simReportInterval))
 	}
 	if !n.requestedAt.IsZero() {
@@ -151,13 +151,13 @@
 		return
 	}
 	of := s.bound(len(s.nodes))
-	switch d := n.purse.TakeBound("e", of, 1, s.now); {
+	switch d := n.allowance.TakeBound("e", of, 1, s.now); {
 	case d.Step == Admitted:
 		s.send(n)
 	case d.Step == NeedsGrant:
-		s.ask(name, n, of, d.Prefetch)
-	case n.purse.Partitioned() && s.now.UnixNano()%int64(200*time.Millisecond) == 0:
-		s.ask(name, n, of, 0)
+		s.requestGrant(name, n, of, d.Prefetch)
+	case n.allowance.Partitioned() && s.now.UnixNano()%int64(200*time.Millisecond) == 0:
+		s.requestGrant(name, n, of, 0)
 	default:
 		n.blockedUntil = s.now.Add(d.RetryAfter)
 	}
@@ -170,8 +170,8 @@
 	}
 }
 
-// ask sends a grant request; the answer arrives after a random round trip, or the request times out.
-func (s *simDeployment) ask(name string, n *simNode, of Bound, ahead float64) {
+// requestGrant sends a grant request; the answer arrives after a random round trip, or the request times out.
+func (s *simDeployment) requestGrant(name string, n *simNode, of Bound, ahead float64) {
 	n.requestedAt, n.answer, n.answerAt = s.now, nil, s.now.Add(simTimeout)
 	g := s.reachableGranter(n)
 	if g == nil {
@@ -186,20 +186,20 @@
 	if s.now.Before(n.answerAt) {
 		return
 	}
-	asked := n.requestedAt
+	sentAt := n.requestedAt
 	n.requestedAt = time.Time{}
 	switch {
 	case n.answer == nil:
-		n.purse.Unanswered(asked, s.now)
-	case n.answer.Granted > 0 && s.rule.includeDisturbed && s.now.Sub(asked) > ColdGrantTTL:
-		n.purse.Answered(asked, n.members)
+		n.allowance.Unanswered(sentAt, s.now)
+	case n.answer.Granted > 0 && s.rule.includeDisturbed && s.now.Sub(sentAt) > ColdGrantTTL:
+		n.allowance.Answered(sentAt, n.members)
 	case n.answer.Granted > 0:
-		n.purse.Answered(asked, n.members)
-		n.purse.Granted("e", n.answer.Granted, 1, asked)
+		n.allowance.Answered(sentAt, n.members)
+		n.allowance.Granted("e", n.answer.Granted, 1, sentAt)
 		s.send(n)
 	default:
-		n.purse.Answered(asked, n.members)
-		n.purse.Refused("e", 1, n.answer.RetryAfter, s.now)
+		n.allowance.Answered(sentAt, n.members)
+		n.allowance.Refused("e", 1, n.answer.RetryAfter, s.now)
 		n.blockedUntil = s.now.Add(n.answer.RetryAfter)
 	}
 }
--- a/core/quota/granter.go
+++ b/core/quota/granter.go
@@ -21,7 +21,7 @@
 	PartitionedTTL = 8 * time.Second
 )
 
-// maxRetryAfter bounds the delay that a refused request is told to wait; its caller has given up by then.
+// maxRetryAfter bounds the retry delay of a refused request; its caller has given up by then.
 const maxRetryAfter = 8 * time.Second
 
 // Tolerance is by how much the requests of a customer may exceed its limit in any window of time.
@@ -49,8 +49,8 @@
 	return l.Burst*(1+burstShare*t.Share) + burstSlack*t.Slack
 }
 
-// Granter grants units to the nodes that ask it, from one token bucket per customer or endpoint. Normally one node of
-// a deployment runs the granter. It is not safe for concurrent use.
+// Granter grants units to the nodes that request them, from one token bucket per customer or endpoint. Normally one
+// node of a deployment runs the granter. It is not safe for concurrent use.
 type Granter struct {
 	tolerance Tolerance
 	// seenAt is when each node's latest message came, and attachedAt when its latest message came that did not report
@@ -66,7 +66,7 @@
 type bucket struct {
 	level float64
 	at    time.Time
-	// deferred is the total of refused requests that were told when to retry. It decreases as the bucket fills, so
+	// deferred is the total of refused requests that got a retry delay. It decreases as the bucket fills, so
 	// that they return one after the other.
 	deferred float64
 }
@@ -76,7 +76,7 @@
 	return &Granter{tolerance: tolerance, seenAt: make(map[string]time.Time), attachedAt: make(map[string]time.Time), initialMembers: members, startedAt: now, buckets: make(map[string]*bucket)}
 }
 
-// Answered records a message from a node. A partitioned node spends its own share, so the granter does not.
+// Observe records a message from a node. A partitioned node spends its own share, so the granter does not.
 func (g *Granter) Observe(node string, partitioned bool, now time.Time) {
 	g.seenAt[node] = now
 	if partitioned {
@@ -106,8 +106,8 @@
 type Answer struct {
 	// Granted is the number of units granted: at least the request's need, or 0.
 	Granted float64
-	// RetryAfter is the delay until the needed units will be available, behind all requests that were deferred before. It
-	// is set only where nothing is granted.
+	// RetryAfter is the delay until the needed units will be available, behind all requests that were deferred before.
+	// It is set only where nothing is granted.
 	RetryAfter time.Duration
 }
 
@@ -121,7 +121,7 @@
 	return g.GrantBound(name, g.tolerance.Bound(l), need, ahead, now)
 }
 
-// GrantBound is like Ask, for any bound; name is that of its bucket.
+// GrantBound is like Grant, for any bound; name is that of its bucket.
 func (g *Granter) GrantBound(name string, of Bound, need, ahead float64, now time.Time) Answer {
 	need, ahead = max(0, need), max(0, ahead)
 	share := g.share(now)
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestRetriesInOrder guards against refused requests that are told the same retry time: all but one would be refused
+// TestRetriesInOrder guards against refused requests that get the same retry time: all but one would be refused
 // again.
 func TestRetriesInOrder(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 10}
