--- a/core/customer/customer.go
+++ b/core/customer/customer.go
@@ -61,13 +61,13 @@
 // Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
-// Cost returns the cost of a request in units of the limit; in and out are its numbers of tokens, and told is false
+// Cost returns the cost of a request in units of the limit; in and out are its numbers of tokens, and stated is false
 // if it states none.
-func (l Limit) Cost(in, out int, told bool) float64 {
+func (l Limit) Cost(in, out int, stated bool) float64 {
 	switch {
 	case l.Unit == Requests:
 		return 1
-	case !told:
+	case !stated:
 		return l.PlainTokens
 	}
 	return float64(max(0, in)) + float64(max(0, out))
@@ -136,8 +136,8 @@
 	names map[string]*Customer
 }
 
-// NewIndex validates customers and returns their index. The error joins a [InvalidError] for each invalid one: a version
-// with any of them is rejected as a whole.
+// NewIndex validates customers and returns their index. The error joins an [InvalidError] for each invalid one: a
+// version with any of them is rejected as a whole.
 func NewIndex(customers []Customer) (*Index, error) {
 	x := &Index{keys: make(map[Digest]*Customer), names: make(map[string]*Customer, len(customers))}
 	var faults []error
--- a/core/customer/customer_test.go
+++ b/core/customer/customer_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("holders (-want +got):\n%s", diff)
 	}
 	if x.ByName("without keys") == nil || x.ByName("c") != nil {
-		t.Error("Named returns the wrong customer")
+		t.Error("ByName returns the wrong customer")
 	}
 }
 
@@ -65,7 +65,7 @@
 			x, err := NewIndex(tt.in)
 			var f InvalidError
 			if x != nil || !errors.As(err, &f) || f.Customer != tt.want || f.Problem == "" {
-				t.Errorf("NewIndex = %v, %v; want a fault of %q", x, err, tt.want)
+				t.Errorf("NewIndex = %v, %v; want an error for customer %q", x, err, tt.want)
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 	tests := []struct {
 		limit   Limit
 		in, out int
-		told    bool
+		stated  bool
 		want    float64
 	}{
 		{Limit{}, 900, 10, true, 1},
@@ -86,8 +86,8 @@
 		{tokens, -5, 10, true, 10},
 	}
 	for _, tt := range tests {
-		if got := tt.limit.Cost(tt.in, tt.out, tt.told); got != tt.want {
-			t.Errorf("Cost(%d, %d, %t) of %+v = %v, want %v", tt.in, tt.out, tt.told, tt.limit, got, tt.want)
+		if got := tt.limit.Cost(tt.in, tt.out, tt.stated); got != tt.want {
+			t.Errorf("Cost(%d, %d, %t) of %+v = %v, want %v", tt.in, tt.out, tt.stated, tt.limit, got, tt.want)
 		}
 	}
 }
@@ -111,8 +111,8 @@
 	}
 }
 
-// BenchmarkHolder looks up one of 100,000 keys. The requirement is 200 ns without an allocation; 144 ns were
-// measured.
+// BenchmarkHolder looks up one of 100,000 keys. The requirement is 200 ns without an allocation; a lookup
+// takes 144 ns.
 func BenchmarkHolder(b *testing.B) {
 	customers := make([]Customer, 1000)
 	for i := range customers {
--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -51,7 +51,7 @@
 	at time.Time
 }
 
-// NewTable returns an empty table with the default Life.
+// NewTable returns an empty table with the default [ReportTTL].
 func NewTable() *Table { return &Table{ReportTTL: ReportTTL, units: make(map[string]*unit)} }
 
 // Put records a node's report. A report without waiting and running requests removes the node's entry.
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -125,8 +125,8 @@
 	d.tombstones[e.ID] = e
 }
 
-// StoreUnreachable records that the store did not answer at now. Entries that are deleted within the following registerGrace
-// count as gone only at its end.
+// StoreUnreachable records that the store did not answer at now. Entries that are deleted within the following
+// registerGrace count as gone only at its end.
 func (d *Directory) StoreUnreachable(now time.Time) { d.deletionsValidAt = now.Add(registerGrace) }
 
 // Apply applies one record and returns what changed.
@@ -188,7 +188,8 @@
 // state it only to whole heartbeats.
 const minColdChange = 500 * time.Millisecond
 
-// coldPhaseChanged reports whether the end of an endpoint's cold phase changed: it moved later, or the phase was cancelled.
+// coldPhaseChanged reports whether the end of an endpoint's cold phase changed: it moved later, or the phase was
+// cancelled.
 func coldPhaseChanged(old, next time.Time) bool {
 	return next.Sub(old) > minColdChange || next.IsZero() && !old.IsZero()
 }
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -120,7 +120,7 @@
 	relayed := draining("a")
 	relayed.Relayed = true
 	if got := d.Apply(relayed, at(1)); got != Routing {
-		t.Errorf("Apply = %v, want Place", got)
+		t.Errorf("Apply = %v, want Routing", got)
 	}
 	want := *whole.Instance
 	want.Draining = true
--- a/core/feedtree/feedtree.go
+++ b/core/feedtree/feedtree.go
@@ -75,8 +75,8 @@
 	return slices.ContainsFunc(feeders, func(f Node) bool { return f.Name == name })
 }
 
-// Candidates returns the feeders that a node may follow, in order of preference: first those of its own data hall, in an
-// order by rendezvous hashing that spreads the hall's nodes evenly, then those of other halls. It returns nil for a
+// Candidates returns the feeders that a node may follow, in order of preference: first those of its own data hall, in
+// an order by rendezvous hashing that spreads the hall's nodes evenly, then those of other halls. It returns nil for a
 // feeder, which follows the holder.
 func Candidates(feeders []Node, name, hall string) []Node {
 	if IsFeeder(feeders, name) {
@@ -107,10 +107,10 @@
 	largeFleetDelay = 1500 * time.Millisecond
 )
 
-// ReadDelay returns how long a node that follows no other node waits before it reads the store itself. Nodes is the size
-// of the fleet, 0 if unknown. Draw is the node's own constant number between 0 and 1, spread evenly over all nodes, so
-// that they do not read at the same time. The delay is 0 in a fleet of at most FanOut nodes, which the holder can serve
-// alone.
+// ReadDelay returns how long a node that follows no other node waits before it reads the store itself. Nodes is the
+// size of the fleet, 0 if unknown. Draw is the node's own constant number between 0 and 1, spread evenly over all
+// nodes, so that they do not read at the same time. The delay is 0 in a fleet of at most FanOut nodes, which the holder
+// can serve alone.
 func ReadDelay(nodes int, draw float64) time.Duration {
 	switch {
 	case nodes <= 0:
--- a/core/feedtree/feedtree_test.go
+++ b/core/feedtree/feedtree_test.go
@@ -23,7 +23,8 @@
 }
 
 // TestFollowersPerFeeder checks that followers are spread over the feeders of their own hall, so that none has over
-// a quarter more than FanOut, and that weak nodes do not become feeders. Fleets have 1 node to twice the largest known number.
+// a quarter more than FanOut, and that weak nodes do not become feeders. Fleets have 1 node to twice the largest known
+// number.
 func TestFollowersPerFeeder(t *testing.T) {
 	for _, size := range []int{1, 7, 71, 128, 129, 300, 984, 2000} {
 		nodes := fleet(size, 5)
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -94,10 +94,10 @@
 	// takeoverPending is set from a takeover's append until the topic is read again: until then the record may
 	// already be on the log, or still be added to it.
 	takeoverPending bool
-	// eraAt is when this node first saw the store's current era; eraWritten is true if a record that was
+	// eraSeenAt is when this node first saw the store's current era; eraWritten is true if a record that was
 	// sent in that era has been read.
-	eraWritten time.Time
-	eraTold    bool
+	eraSeenAt  time.Time
+	eraWritten bool
 	// fromEarlierEra is true if the holder is known only from a record of an earlier era.
 	fromEarlierEra bool
 	// heldUntil is the value that until had after the latest renewal. Unlike until it is also kept
@@ -120,9 +120,9 @@
 	if p < l.end {
 		return
 	}
-	if era := position.Era(p); l.eraWritten.IsZero() || era > position.Era(l.end) {
+	if era := position.Era(p); l.eraSeenAt.IsZero() || era > position.Era(l.end) {
 		// A takeover in an era without records waits for TTL from here.
-		l.eraWritten, l.eraTold = now, era == 0
+		l.eraSeenAt, l.eraWritten = now, era == 0
 	}
 	l.end = p
 }
@@ -135,10 +135,10 @@
 	l.advance(offset+1, now)
 	l.refused = false
 	if r.Era != position.Era(offset) {
-		l.foldCopy(r, now)
+		l.applyEarlierEra(r, now)
 		return
 	}
-	l.eraTold = true
+	l.eraWritten = true
 	same := r.SameIncarnation(l.holder)
 	switch {
 	case r.Release && same:
@@ -158,9 +158,9 @@
 	}
 }
 
-// foldCopy applies a record of an earlier era. A node that remembers a current or previous holder ignores
+// applyEarlierEra applies a record of an earlier era. A node that remembers a current or previous holder ignores
 // it; to other nodes it shows which node may still be sending orders.
-func (l *Lease) foldCopy(r Record, now time.Time) {
+func (l *Lease) applyEarlierEra(r Record, now time.Time) {
 	switch {
 	case l.holder.Holder == "" && l.former.Holder == "" && !r.Release, l.fromEarlierEra && !r.Release:
 		l.holder, l.seenAt, l.fromEarlierEra = r, now, true
@@ -221,7 +221,7 @@
 		return false
 	case l.heldBySelf() && now.Before(l.until):
 		return now.Sub(l.seenAt) >= RenewEvery
-	case !l.eraTold && now.Sub(l.eraWritten) < TTL:
+	case !l.eraWritten && now.Sub(l.eraSeenAt) < TTL:
 		// Another node may have taken the lease by a record that the restore lost, and may send orders
 		// until its term is over.
 		return false
@@ -238,7 +238,7 @@
 	}
 	l.freeSince = time.Time{}
 	if l.holder.Holder == l.self.Holder {
-		// An earlier incarnation of this node holds it, and has ended.
+		// An earlier incarnation of this node holds it, and its process no longer runs.
 		return true
 	}
 	return now.Sub(l.seenAt) >= TTL+l.delay
@@ -294,7 +294,7 @@
 }
 
 // mayOutlast reports whether a holder whose lease expired may continue if the store is unreachable:
-// nothing that this node has read or been answered shows another holder, and AwayLimit is not over.
+// nothing that this node has read or been answered shows another holder, and MaxOutage has not passed.
 func (l *Lease) mayOutlast(now time.Time) bool {
 	return l.heldBySelf() && !l.heldUntil.IsZero() && now.Before(l.heldUntil.Add(MaxOutage))
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -19,7 +19,7 @@
 
 func rec(node string) Record { return Record{Holder: node, Incarnation: node + "-1"} }
 
-// TestTakeover checks in which states of the lease node b wants to take it over.
+// TestTakeover checks in which states of the lease node b should take it over.
 func TestTakeover(t *testing.T) {
 	tests := []struct {
 		name string
@@ -84,7 +84,7 @@
 			l := New(rec("b"), 0)
 			tt.do(l, tt.now)
 			if got := l.ShouldAppend(tt.now); got != tt.want {
-				t.Errorf("Wants(%v) = %t, want %t", tt.now.Sub(start), got, tt.want)
+				t.Errorf("ShouldAppend(%v) = %t, want %t", tt.now.Sub(start), got, tt.want)
 			}
 		})
 	}
@@ -101,11 +101,11 @@
 		Fence uint64
 		OK    bool
 	}
-	look := func(ms int) held {
+	heldAt := func(ms int) held {
 		f, ok := l.Held(at(ms))
 		return held{f, ok}
 	}
-	got := []held{look(400), look(1799), look(1800)}
+	got := []held{heldAt(400), heldAt(1799), heldAt(1800)}
 	want := []held{{8, true}, {8, true}, {8, false}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("Held (-want +got):\n%s", diff)
@@ -318,7 +318,7 @@
 	l.ShouldAppend(start)
 	l.CaughtUp(0, at(200))
 	if !l.ShouldAppend(at(200)) {
-		t.Fatal("Wants = false after the delay, although the lease is free")
+		t.Fatal("ShouldAppend = false after the delay, although the lease is free")
 	}
 	l.Begin(at(200), nil)
 	l.Acknowledged(0, at(210))
@@ -327,7 +327,7 @@
 	l.CaughtUp(2, at(5000))
 	got := []bool{l.ShouldAppend(at(5000)), l.ShouldAppend(at(5099)), l.ShouldAppend(at(5100))}
 	if diff := cmp.Diff([]bool{false, false, true}, got); diff != "" {
-		t.Errorf("Wants immediately, just before and after the delay (-want +got):\n%s", diff)
+		t.Errorf("ShouldAppend immediately, just before and after the delay (-want +got):\n%s", diff)
 	}
 }
 
--- a/core/lease/outage.go
+++ b/core/lease/outage.go
@@ -27,7 +27,7 @@
 	// failureFresh is how long a failed call counts as the store's current state.
 	failureFresh = time.Second
 	// silenceLimit is how long a node without reports still counts as one that may take the lease, since it
-	// may be partitioned from the holder only. The remaining risk is a node that runs unheard for
+	// may be partitioned from the holder only. The remaining risk is a node that runs without a report for
 	// longer and is the first to reach the store again.
 	silenceLimit = MaxOutage
 	// FirstReportWait is how long the first holder of a new log waits for reports of all other nodes,
@@ -103,11 +103,11 @@
 	}
 	// The previous holder was last known to run when its record was read. If that was more than twice
 	// the TTL ago, nobody could write in between, and it may have run for longer.
-	lastWord := now.Add(-2 * TTL)
-	if l.formerAt.After(lastWord) {
-		lastWord = l.formerAt
+	lastKnown := now.Add(-2 * TTL)
+	if l.formerAt.After(lastKnown) {
+		lastKnown = l.formerAt
 	}
-	o.markSeen(l.former.Holder, lastWord)
+	o.markSeen(l.former.Holder, lastKnown)
 	o.Acting(now)
 	o.Renewed(now)
 }
@@ -143,7 +143,7 @@
 // Failed records that a call to the store got no answer.
 func (o *Outage) Failed(now time.Time) { o.failedAt = now }
 
-// FailedRecently reports whether a call to the store failed within AwayKept.
+// FailedRecently reports whether a call to the store failed within UnreachableTTL.
 func (o *Outage) FailedRecently(now time.Time) bool {
 	return !o.failedAt.IsZero() && now.Sub(o.failedAt) <= UnreachableTTL
 }
@@ -170,7 +170,7 @@
 }
 
 // Decide returns what the holder does after its lease has expired, and the reason for the log. It has to
-// be called continuously: after a gap of more than VouchFresh the process was suspended and cannot know
+// be called continuously: after a gap of more than ReportFresh the process was suspended and cannot know
 // for how long the other nodes were silent, so it steps down unless engines check fencing numbers.
 func (o *Outage) Decide(l *Lease, now time.Time) (v Decision, why string) {
 	suspended := now.Sub(o.actedAt) > ReportFresh
--- a/core/lease/outage_test.go
+++ b/core/lease/outage_test.go
@@ -14,7 +14,7 @@
 func TestUnconfirmed(t *testing.T) {
 	now := at(60_000)
 	lately, longAgo := now.Add(-ReportFresh-1), now.Add(-silenceLimit-1)
-	away := Report{At: now.Add(-time.Second), StoreAway: true}
+	unreachable := Report{At: now.Add(-time.Second), StoreAway: true}
 	tests := []struct {
 		name    string
 		reports map[string]Report
@@ -23,14 +23,14 @@
 		want  bool
 	}{
 		{"alone", nil, nil, true},
-		{"all say so", map[string]Report{"a": away, "b": away}, nil, true},
-		{"one reaches the store", map[string]Report{"a": away, "b": {At: away.At}}, nil, false},
-		{"one is silent", map[string]Report{"a": away, "b": {At: lately, StoreAway: true}}, nil, false},
-		{"one is silent and reached the store", map[string]Report{"a": away, "b": {At: lately}}, nil, false},
-		{"one is gone", map[string]Report{"a": away, "b": {At: longAgo}}, nil, true},
-		{"one stopped", map[string]Report{"a": away, "b": {At: lately, Stopping: true}}, nil, true},
-		{"one was never heard", map[string]Report{"a": away}, map[string]time.Time{"b": lately}, false},
-		{"one was never heard, long ago", map[string]Report{"a": away}, map[string]time.Time{"b": longAgo}, true},
+		{"all say so", map[string]Report{"a": unreachable, "b": unreachable}, nil, true},
+		{"one reaches the store", map[string]Report{"a": unreachable, "b": {At: unreachable.At}}, nil, false},
+		{"one is silent", map[string]Report{"a": unreachable, "b": {At: lately, StoreAway: true}}, nil, false},
+		{"one is silent and reached the store", map[string]Report{"a": unreachable, "b": {At: lately}}, nil, false},
+		{"one is gone", map[string]Report{"a": unreachable, "b": {At: longAgo}}, nil, true},
+		{"one stopped", map[string]Report{"a": unreachable, "b": {At: lately, Stopping: true}}, nil, true},
+		{"one was never heard", map[string]Report{"a": unreachable}, map[string]time.Time{"b": lately}, false},
+		{"one was never heard, long ago", map[string]Report{"a": unreachable}, map[string]time.Time{"b": longAgo}, true},
 	}
 	for _, test := range tests {
 		o := NewOutage("h", false)
@@ -53,11 +53,11 @@
 	l.Begin(at(3000), nil)
 	l.Failed(at(4500))
 	if !l.TakeoverPending() {
-		t.Error("after a takeover without an answer: Trying = false, want true")
+		t.Error("after a takeover without an answer: TakeoverPending = false, want true")
 	}
 	l.CaughtUp(1, at(5000))
 	if l.TakeoverPending() {
-		t.Error("after a read: Trying = true, want false")
+		t.Error("after a read: TakeoverPending = true, want false")
 	}
 }
 
@@ -69,9 +69,9 @@
 	// held is true while the node acts as the holder; orderUntil is until when it may send orders.
 	held       bool
 	orderUntil time.Time
-	// heardAt is when it last received the holder's feed; holderDoubts is true if that holder doubted the store.
-	heardAt      time.Time
-	holderDoubts bool
+	// feedReceivedAt is when it last received the holder's feed; holderDoubts is true if that holder doubted the store.
+	feedReceivedAt time.Time
+	holderDoubts   bool
 	// readFailedAt is when its read of the topic last failed; zero after a successful read.
 	readFailedAt time.Time
 	// readAfter and reportAfter are the earliest times of its next read and report.
@@ -189,12 +189,12 @@
 	return nil
 }
 
-// runStep runs one runStep of a node.
+// runStep runs one step of a node.
 func (w *outageModel) runStep(t *rapid.T, i int) {
 	m := w.members[i]
 	h := w.holder(i)
 	if h != nil && !m.held {
-		m.heardAt, m.holderDoubts = w.now, h.outage.SuspectsStore(h.Lease, w.now)
+		m.feedReceivedAt, m.holderDoubts = w.now, h.outage.SuspectsStore(h.Lease, w.now)
 		m.SetSuccession(w.named(i, h), m.delay)
 		for ; w.read[i] < int(h.End()); w.read[i]++ {
 			m.Apply(uint64(w.read[i]), w.log[w.read[i]], w.now)
@@ -202,8 +202,8 @@
 	}
 	w.readTopic(i)
 	if h != nil && !m.held && w.now.After(m.reportAfter) {
-		away := !m.readFailedAt.IsZero() && w.now.Sub(m.readFailedAt) <= ReportFresh && !m.TakeoverPending()
-		h.outage.ReportReceived(fmt.Sprint(i), Report{At: w.now, StoreAway: away})
+		unreachable := !m.readFailedAt.IsZero() && w.now.Sub(m.readFailedAt) <= ReportFresh && !m.TakeoverPending()
+		h.outage.ReportReceived(fmt.Sprint(i), Report{At: w.now, StoreAway: unreachable})
 		m.reportAfter = w.now.Add(modelReport)
 	}
 	w.keepLease(t, i)
@@ -218,7 +218,7 @@
 // readTopic reads the topic if the node cannot rely on the holder's feed.
 func (w *outageModel) readTopic(i int) {
 	m := w.members[i]
-	following := w.now.Sub(m.heardAt) <= modelHolderFresh && !m.holderDoubts
+	following := w.now.Sub(m.feedReceivedAt) <= modelHolderFresh && !m.holderDoubts
 	if following && !m.held || w.now.Before(m.readAfter) {
 		return
 	}
@@ -237,7 +237,7 @@
 // keepLease renews or takes the lease, and decides whether to continue after it expired.
 func (w *outageModel) keepLease(t *rapid.T, i int) {
 	m := w.members[i]
-	deferring := !m.held && w.now.Sub(m.heardAt) <= modelHolderFresh && m.outage.FailedRecently(w.now)
+	deferring := !m.held && w.now.Sub(m.feedReceivedAt) <= modelHolderFresh && m.outage.FailedRecently(w.now)
 	if !deferring && m.ShouldAppend(w.now) {
 		w.tryAppend(t, i)
 	}
--- a/core/logstore/logstore.go
+++ b/core/logstore/logstore.go
@@ -43,7 +43,7 @@
 	// End is the position of the topic's end if Kind is Moved.
 	End uint64
 	// First is the position of the first record kept if Kind is Dropped, and the beginning of the new era if
-	// Kind is PutBack.
+	// Kind is Restored.
 	First uint64
 	Cause error
 }
@@ -56,7 +56,7 @@
 
 // Record is a decoded record with its position.
 type Record[T any] struct {
-	// Offset is the record's position (see package position), like all places in this package.
+	// Offset is the record's position (see package position), like all positions in this package.
 	Offset uint64
 	Value  T
 }
--- a/core/region/region_test.go
+++ b/core/region/region_test.go
@@ -29,8 +29,8 @@
 			if got := s.Pool("unit/s/m"); got != tt.pool {
 				t.Errorf("pool %q, want %q", got, tt.pool)
 			}
-			pool, back := SplitPool(s.Pool("unit/s/m"))
-			if diff := cmp.Diff([]any{"unit/s/m", s.names}, []any{pool, back.names}); diff != "" {
+			pool, restored := SplitPool(s.Pool("unit/s/m"))
+			if diff := cmp.Diff([]any{"unit/s/m", s.names}, []any{pool, restored.names}); diff != "" {
 				t.Errorf("SplitPool (-want +got):\n%s", diff)
 			}
 		})
@@ -39,11 +39,11 @@
 
 // TestUnknownRegion guards against sending a restricted request to an endpoint whose region is unknown.
 func TestUnknownRegion(t *testing.T) {
-	some, err := Of([]string{"a"}, nil)
+	restricted, err := Of([]string{"a"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if some.Allows("") || !some.Allows("a") || some.Allows("b") || !(Set{}).Allows("") {
+	if restricted.Allows("") || !restricted.Allows("a") || restricted.Allows("b") || !(Set{}).Allows("") {
 		t.Error("an unknown or other region is allowed, or the one that is named is not")
 	}
 }
--- a/core/retry/allowance_test.go
+++ b/core/retry/allowance_test.go
@@ -100,10 +100,10 @@
 		}
 	}
 	h.allowance.ObserveNodes(count, s.now)
-	told := h.allowance.Nodes(s.now)
+	sharedCount := h.allowance.Nodes(s.now)
 	for i, n := range s.nodes {
 		if i != s.holder && !s.partitioned[i] && !s.partitioned[s.holder] {
-			n.allowance.ObserveNodes(told, s.now)
+			n.allowance.ObserveNodes(sharedCount, s.now)
 		}
 	}
 }
@@ -260,33 +260,33 @@
 
 // TestAllowance checks a node's share of a reserve of 90 after a series of received counts.
 func TestAllowance(t *testing.T) {
-	type told struct {
+	type observedCount struct {
 		nodes int
 		at    time.Duration
 	}
 	// Received from one holder without a gap.
-	steady := []told{{9, 0}, {9, 10 * time.Second}, {9, 35 * time.Second}}
+	steady := []observedCount{{9, 0}, {9, 10 * time.Second}, {9, 35 * time.Second}}
 	tests := []struct {
-		name string
-		told []told
-		at   time.Duration
-		want float64
+		name   string
+		counts []observedCount
+		at     time.Duration
+		want   float64
 	}{
 		{"never told", nil, time.Hour, 0},
-		{"for less than a window", []told{{9, 0}, {9, 9 * time.Second}}, 9 * time.Second, 0},
-		{"for a window", []told{{9, 0}, {9, 10 * time.Second}}, 10 * time.Second, 7},
-		{"a new holder that heard of nobody", append(steady[:2:2], told{1, 11 * time.Second}), 11 * time.Second, 7},
-		{"more nodes", append(steady[:2:2], told{18, 11 * time.Second}), 11 * time.Second, 3.5},
+		{"for less than a window", []observedCount{{9, 0}, {9, 9 * time.Second}}, 9 * time.Second, 0},
+		{"for a window", []observedCount{{9, 0}, {9, 10 * time.Second}}, 10 * time.Second, 7},
+		{"a new holder that heard of nobody", append(steady[:2:2], observedCount{1, 11 * time.Second}), 11 * time.Second, 7},
+		{"more nodes", append(steady[:2:2], observedCount{18, 11 * time.Second}), 11 * time.Second, 3.5},
 		{"no word for a while", steady[:2], 40 * time.Second, 7},
 		{"no word for long", steady[:2], 41 * time.Second, 0},
-		{"a word after long", append(steady[:2:2], told{9, 50 * time.Second}), 50 * time.Second, 0},
-		{"few nodes for a while", append(steady[:3:3], told{3, 60 * time.Second}, told{3, 80 * time.Second}), 90 * time.Second, 7},
-		{"few nodes for long", append(steady[:3:3], told{3, 336 * time.Second}, told{3, 350 * time.Second}), 360 * time.Second, 21},
+		{"a word after long", append(steady[:2:2], observedCount{9, 50 * time.Second}), 50 * time.Second, 0},
+		{"few nodes for a while", append(steady[:3:3], observedCount{3, 60 * time.Second}, observedCount{3, 80 * time.Second}), 90 * time.Second, 7},
+		{"few nodes for long", append(steady[:3:3], observedCount{3, 336 * time.Second}, observedCount{3, 350 * time.Second}), 360 * time.Second, 21},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			a := NewAllowance(Limits{Share: 0.2, Reserve: 90, Window: 10 * time.Second})
-			for _, h := range tt.told {
+			for _, h := range tt.counts {
 				a.ObserveNodes(h.nodes, start.Add(h.at))
 			}
 			if diff := cmp.Diff(tt.want, a.Limits(start.Add(tt.at)).Reserve, cmpopts.EquateApprox(0, 1e-9)); diff != "" {
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -36,7 +36,7 @@
 // AddFirst records a first attempt.
 func (b *Budget) AddFirst(now time.Time) { b.firsts.add(now, b.limits.Window) }
 
-// CallerGone returns the number of retries that may be made now; it may be fractional or negative.
+// Left returns the number of retries that may be made now; it may be fractional or negative.
 func (b *Budget) Left(now time.Time) float64 {
 	earned := b.limits.Share * float64(b.firsts.sum(now, b.limits.Window))
 	return earned + b.limits.Reserve - float64(b.spent.sum(now, b.limits.Window)+b.reserved)
@@ -52,7 +52,7 @@
 }
 
 // Reserve reserves one retry that is sent later. It reports false if the budget is exhausted. A call of
-// Sent or Drop must follow if it returns true.
+// Sent or Release must follow if it returns true.
 func (b *Budget) Reserve(now time.Time) bool {
 	if b.Left(now) < minBudget {
 		return false
--- a/core/retry/next.go
+++ b/core/retry/next.go
@@ -7,7 +7,7 @@
 	OnceOnly bool
 	// Ran is the number of attempts that may have run, including this one. Attempts is its limit.
 	Ran, Attempts int
-	// Late is true if the deadline has passed. Left is true if the caller has disconnected.
+	// Late is true if the deadline has passed. CallerGone is true if the caller has disconnected.
 	Late, CallerGone bool
 	// Withheld is true if the request must not be sent to engines any more.
 	Withheld bool
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -58,11 +58,11 @@
 	n := 0
 	for i := range 10000 {
 		id := strconv.Itoa(i)
-		side := r.Pick(id)
-		if again := r.Pick(id); again != side {
-			t.Fatalf("Pick(%s) = %s, then %s", id, side, again)
+		service := r.Pick(id)
+		if again := r.Pick(id); again != service {
+			t.Fatalf("Pick(%s) = %s, then %s", id, service, again)
 		}
-		if side == "t" {
+		if service == "t" {
 			n++
 		}
 	}
--- a/core/view/view.go
+++ b/core/view/view.go
@@ -217,6 +217,6 @@
 	if p.Phase != ledger.Ready || e == nil || e.Draining {
 		return false
 	}
-	soft := in.Engines[e.Name]
-	return soft != nil && soft.Reachable && !soft.Leaving
+	observed := in.Engines[e.Name]
+	return observed != nil && observed.Reachable && !observed.Leaving
 }
