--- a/core/placement/property_test.go
+++ b/core/placement/property_test.go
@@ -32,19 +32,19 @@
 	now     time.Time
 }
 
-// plays is the number of runs of 300 steps of the property test.
-var plays = flag.Int("plays", 150, "plays of the property test, each with its own seed")
+// propertyRuns is the number of runs of 300 steps of the property test.
+var propertyRuns = flag.Int("plays", 150, "plays of the property test, each with its own seed")
 
-// playSeed selects a single run and logs each of its events.
-var playSeed = flag.Int("playSeed", -1, "the only play of the property test, logged; -1: all")
+// propertySeed selects a single run and logs each of its events.
+var propertySeed = flag.Int("playSeed", -1, "the only play of the property test, logged; -1: all")
 
 // TestOrdersFit runs random demand against engines whose replies are lost, whose orders arrive
 // late and whose processes restart. No order may make an engine load more than fits, and the
 // loads from the store must stay below the limit.
 func TestOrdersFit(t *testing.T) {
-	seeds := append(slices.Clone(regressionSeeds), seedsTo(*plays)...)
-	if *playSeed >= 0 {
-		seeds = []uint64{uint64(*playSeed)}
+	seeds := append(slices.Clone(regressionSeeds), seedsTo(*propertyRuns)...)
+	if *propertySeed >= 0 {
+		seeds = []uint64{uint64(*propertySeed)}
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -120,7 +120,7 @@
 
 // logf logs an event if the test runs a single seed.
 func (f *fakeFleet) logf(format string, args ...any) {
-	if *playSeed >= 0 {
+	if *propertySeed >= 0 {
 		f.t.Logf("%8v "+format, append([]any{f.now.Sub(start)}, args...)...)
 	}
 }
--- a/core/quarantine/exchange.go
+++ b/core/quarantine/exchange.go
@@ -91,7 +91,7 @@
 	}
 	if e.Epoch > rec.epoch {
 		r.newEpoch(rec, e.Epoch, e.At.Sub(r.base))
-		r.apply(rec, goodAnswer, now)
+		r.apply(rec, successfulAnswer, now)
 		changed = true
 	}
 	// Another node may have recorded the same event earlier.
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -259,7 +259,7 @@
 // Answered records that an engine answered a request successfully, which clears it. It reports whether there was
 // anything to clear.
 func (r *Registry) Answered(f Fingerprint, now time.Time) bool {
-	return r.reset(f, goodAnswer, now)
+	return r.reset(f, successfulAnswer, now)
 }
 
 // Release clears a request at an operator's command. It reports whether there was anything to clear.
--- a/core/quarantine/state.go
+++ b/core/quarantine/state.go
@@ -42,8 +42,8 @@
 	strongSuspicion
 	// verdictReached: it crashes engines, almost certainly.
 	verdictReached
-	// goodAnswer: an engine answered it successfully.
-	goodAnswer
+	// successfulAnswer: an engine answered it successfully.
+	successfulAnswer
 	// trialBegun: a trial run begins.
 	trialBegun
 	// trialOver: the trial ended without an answer or a crash.
@@ -61,29 +61,29 @@
 var transitions = [States][events]State{
 	Clear: {
 		explained: Clear, weakSuspicion: Suspected, strongSuspicion: Isolated, verdictReached: Quarantined,
-		goodAnswer: Clear, trialBegun: Clear, trialOver: Clear, operatorRelease: Clear, recordExpired: Clear,
+		successfulAnswer: Clear, trialBegun: Clear, trialOver: Clear, operatorRelease: Clear, recordExpired: Clear,
 	},
 	Suspected: {
 		explained: Clear, weakSuspicion: Suspected, strongSuspicion: Isolated, verdictReached: Quarantined,
-		goodAnswer: Clear, trialBegun: Suspected, trialOver: Suspected, operatorRelease: Clear, recordExpired: Clear,
+		successfulAnswer: Clear, trialBegun: Suspected, trialOver: Suspected, operatorRelease: Clear, recordExpired: Clear,
 	},
 	Isolated: {
 		explained: Clear, weakSuspicion: Suspected, strongSuspicion: Isolated, verdictReached: Quarantined,
-		goodAnswer: Clear, trialBegun: Isolated, trialOver: Isolated, operatorRelease: Clear, recordExpired: Clear,
+		successfulAnswer: Clear, trialBegun: Isolated, trialOver: Isolated, operatorRelease: Clear, recordExpired: Clear,
 	},
 	// A verdict is not withdrawn when other requests get one: two requests that only ever ran together would release
 	// each other.
 	Quarantined: {
 		explained: Quarantined, weakSuspicion: Quarantined, strongSuspicion: Quarantined, verdictReached: Quarantined,
-		goodAnswer: Released, trialBegun: OnTrial, trialOver: Quarantined, operatorRelease: Released, recordExpired: Clear,
+		successfulAnswer: Released, trialBegun: OnTrial, trialOver: Quarantined, operatorRelease: Released, recordExpired: Clear,
 	},
 	OnTrial: {
 		explained: OnTrial, weakSuspicion: Quarantined, strongSuspicion: Quarantined, verdictReached: Quarantined,
-		goodAnswer: Released, trialBegun: OnTrial, trialOver: Quarantined, operatorRelease: Released, recordExpired: Clear,
+		successfulAnswer: Released, trialBegun: OnTrial, trialOver: Quarantined, operatorRelease: Released, recordExpired: Clear,
 	},
 	Released: {
 		explained: Released, weakSuspicion: Suspected, strongSuspicion: Isolated, verdictReached: Quarantined,
-		goodAnswer: Released, trialBegun: Released, trialOver: Released, operatorRelease: Released, recordExpired: Clear,
+		successfulAnswer: Released, trialBegun: Released, trialOver: Released, operatorRelease: Released, recordExpired: Clear,
 	},
 }
 
--- a/core/quarantine/state_test.go
+++ b/core/quarantine/state_test.go
@@ -20,9 +20,9 @@
 	rules := []rule{
 		{"what is forgotten is clear", func(_ State, ev event) bool { return ev == recordExpired }, to(Clear)},
 		{"a good answer, or an operator, lets go", func(s State, ev event) bool {
-			return (ev == goodAnswer || ev == operatorRelease) && (s.blocked() || s == Released)
+			return (ev == successfulAnswer || ev == operatorRelease) && (s.blocked() || s == Released)
 		}, to(Released)},
-		{"a good answer, or an operator, clears", func(_ State, ev event) bool { return ev == goodAnswer || ev == operatorRelease }, to(Clear)},
+		{"a good answer, or an operator, clears", func(_ State, ev event) bool { return ev == successfulAnswer || ev == operatorRelease }, to(Clear)},
 		{"only what is quarantined is tried", func(s State, ev event) bool { return ev == trialBegun && s != Quarantined }, same},
 		{"a trial begins", func(_ State, ev event) bool { return ev == trialBegun }, to(OnTrial)},
 		{"a trial that came to nothing", func(s State, ev event) bool { return ev == trialOver && s == OnTrial }, to(Quarantined)},
--- a/core/quarantine/tracker.go
+++ b/core/quarantine/tracker.go
@@ -13,10 +13,10 @@
 	// restartWindow is how long after an attempt without response was abandoned it is still a suspect when the engine
 	// turns out to have restarted.
 	restartWindow = 10 * time.Second
-	// maxGood bounds the set of requests that were answered successfully, and goodTTL is how long they are kept: a
-	// request that was recently answered is not a suspect.
-	maxGood = 2048
-	goodTTL = 5 * time.Minute
+	// maxSucceeded bounds the set of requests that were answered successfully, and succeededTTL is how long they are
+	// kept: a request that was recently answered is not a suspect.
+	maxSucceeded = 2048
+	succeededTTL = 5 * time.Minute
 	// idleTTL is how long an incarnation of an engine without runs is kept.
 	idleTTL = time.Minute
 )
@@ -59,29 +59,29 @@
 // concurrent use.
 type Tracker struct {
 	incarnations map[Incarnation]*engineRuns
-	// good holds the requests that were answered successfully since goodSince, and previousGood those of the period
-	// before.
-	good, previousGood map[Fingerprint]bool
-	// goodSince is when the set good was started.
-	goodSince time.Time
+	// succeeded holds the requests that were answered successfully since succeededSince, and previousSucceeded those of
+	// the period before.
+	succeeded, previousSucceeded map[Fingerprint]bool
+	// succeededSince is when the set succeeded was started.
+	succeededSince time.Time
 }
 
 // NewTracker returns a tracker with no runs.
 func NewTracker() *Tracker {
-	return &Tracker{incarnations: make(map[Incarnation]*engineRuns), good: make(map[Fingerprint]bool)}
+	return &Tracker{incarnations: make(map[Incarnation]*engineRuns), succeeded: make(map[Fingerprint]bool)}
 }
 
-// recordGood adds a request that was answered successfully.
-func (t *Tracker) recordGood(f Fingerprint, now time.Time) {
-	if len(t.good) >= maxGood || now.Sub(t.goodSince) > goodTTL {
-		t.previousGood, t.good, t.goodSince = t.good, make(map[Fingerprint]bool), now
+// recordSuccess adds a request that was answered successfully.
+func (t *Tracker) recordSuccess(f Fingerprint, now time.Time) {
+	if len(t.succeeded) >= maxSucceeded || now.Sub(t.succeededSince) > succeededTTL {
+		t.previousSucceeded, t.succeeded, t.succeededSince = t.succeeded, make(map[Fingerprint]bool), now
 	}
-	t.good[f] = true
+	t.succeeded[f] = true
 }
 
-// wasGood reports whether a request was recently answered successfully.
-func (t *Tracker) wasGood(f Fingerprint, now time.Time) bool {
-	return (t.good[f] || t.previousGood[f]) && now.Sub(t.goodSince) <= goodTTL
+// recentlySucceeded reports whether a request was recently answered successfully.
+func (t *Tracker) recentlySucceeded(f Fingerprint, now time.Time) bool {
+	return (t.succeeded[f] || t.previousSucceeded[f]) && now.Sub(t.succeededSince) <= succeededTTL
 }
 
 func (t *Tracker) runsOf(l Incarnation, now time.Time) *engineRuns {
@@ -113,9 +113,9 @@
 }
 
 // Answer records that the engine answered, successfully or not, or refused to begin.
-func (t *Tracker) Answer(run *Run, good bool, now time.Time) {
-	if good {
-		t.recordGood(run.request, now)
+func (t *Tracker) Answer(run *Run, succeeded bool, now time.Time) {
+	if succeeded {
+		t.recordSuccess(run.request, now)
 	}
 	er := t.runsOf(run.incarnation, now)
 	er.answered = true
@@ -137,7 +137,7 @@
 func (t *Tracker) Break(run *Run, now time.Time) (suspicion Suspicion, crashed bool) {
 	er := t.runsOf(run.incarnation, now)
 	run.stoppedAt, run.broke = now, true
-	if er.draining || t.wasGood(run.request, now) || er.crashedAt.IsZero() || now.Sub(er.crashedAt) > breakWindow || run.sentAt.After(er.crashedAt) {
+	if er.draining || t.recentlySucceeded(run.request, now) || er.crashedAt.IsZero() || now.Sub(er.crashedAt) > breakWindow || run.sentAt.After(er.crashedAt) {
 		return Suspicion{}, false
 	}
 	delete(er.runs, run)
@@ -173,7 +173,7 @@
 	er.answered, er.crashedAt = false, now
 	id = er.crashID(l)
 	for run := range er.runs {
-		if !run.coincidesWith(now) || t.wasGood(run.request, now) {
+		if !run.coincidesWith(now) || t.recentlySucceeded(run.request, now) {
 			continue
 		}
 		requests = append(requests, run.request)
--- a/core/quarantine/tracker_test.go
+++ b/core/quarantine/tracker_test.go
@@ -39,9 +39,9 @@
 		want   []tracked
 	}{
 		{"what broke just before, not what was answered or broke long ago", func(tr *Tracker) []tracked {
-			old, good, broken := tr.Send(request(0), incarnation, ms(0)), tr.Send(request(1), incarnation, ms(0)), tr.Send(request(2), incarnation, ms(4000))
+			old, succeeded, broken := tr.Send(request(0), incarnation, ms(0)), tr.Send(request(1), incarnation, ms(0)), tr.Send(request(2), incarnation, ms(4000))
 			tr.Break(old, ms(10))
-			tr.Answer(good, true, ms(20))
+			tr.Answer(succeeded, true, ms(20))
 			tr.Break(broken, ms(5000))
 			return []tracked{end(tr, incarnation, ms(5005))}
 		}, []tracked{{CrashID{Engine: "a", Start: 7}, []int{2}}}},
--- a/internal/isolation/guard_test.go
+++ b/internal/isolation/guard_test.go
@@ -141,7 +141,7 @@
 	run := g.Send(f, view.Endpoint{Name: "e3"})
 	run.Answered(true)
 	if err := g.Blocked(f); err != nil {
-		t.Errorf("after a good answer: %v", err)
+		t.Errorf("after a successful answer: %v", err)
 	}
 }
 
--- a/internal/isolation/run.go
+++ b/internal/isolation/run.go
@@ -55,9 +55,9 @@
 	r.g.tracker.Begin(r.run, r.g.o.Clock.Now())
 }
 
-// Answered records a complete answer, or that the endpoint refused to begin. A successful answer (good) clears the
+// Answered records a complete answer, or that the endpoint refused to begin. A successful answer clears the
 // request.
-func (r *Run) Answered(good bool) {
+func (r *Run) Answered(succeeded bool) {
 	if r.finished {
 		return
 	}
@@ -65,8 +65,8 @@
 	g := r.g
 	g.mu.Lock()
 	now := g.o.Clock.Now()
-	g.tracker.Answer(r.run, good, now)
-	cleared := good && g.registry.Answered(r.request, now)
+	g.tracker.Answer(r.run, succeeded, now)
+	cleared := succeeded && g.registry.Answered(r.request, now)
 	g.mu.Unlock()
 	if cleared {
 		g.Metrics.Cleared.Add(1)
