--- a/core/catalog/change.go
+++ b/core/catalog/change.go
@@ -58,18 +58,18 @@
 // remove deleted. Each list is sorted by name. It does not modify base; the result
 // shares unchanged items with it.
 func Merge(base, upsert *pb.Config, remove []string) *pb.Config {
-	gone := make(map[string]bool, len(remove))
+	removed := make(map[string]bool, len(remove))
 	for _, r := range remove {
-		gone[r] = true
+		removed[r] = true
 	}
 	out := &pb.Config{Weights: base.GetWeights()}
-	modelSection.merge(base, upsert, gone, out)
-	adapterSection.merge(base, upsert, gone, out)
-	serviceSection.merge(base, upsert, gone, out)
-	callerSection.merge(base, upsert, gone, out)
-	storeSection.merge(base, upsert, gone, out)
-	objectiveSection.merge(base, upsert, gone, out)
-	if gone[weightsKey] {
+	modelSection.merge(base, upsert, removed, out)
+	adapterSection.merge(base, upsert, removed, out)
+	serviceSection.merge(base, upsert, removed, out)
+	callerSection.merge(base, upsert, removed, out)
+	storeSection.merge(base, upsert, removed, out)
+	objectiveSection.merge(base, upsert, removed, out)
+	if removed[weightsKey] {
 		out.Weights = nil
 	}
 	if upsert.GetWeights() != nil {
@@ -119,13 +119,13 @@
 	return remove
 }
 
-func (s section[T]) merge(base, upsert *pb.Config, gone map[string]bool, out *pb.Config) {
+func (s section[T]) merge(base, upsert *pb.Config, removed map[string]bool, out *pb.Config) {
 	m := s.byName(base)
 	if m == nil {
 		m = make(map[string]T)
 	}
 	for name := range m {
-		if gone[s.kind+"/"+name] {
+		if removed[s.kind+"/"+name] {
 			delete(m, name)
 		}
 	}
--- a/core/ledger/apply.go
+++ b/core/ledger/apply.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// advance moves LogicalTime forward to the time of a record, by MaxTimeStep at most,
-// and deletes expired entries. LogicalTime depends on the records alone, so all
-// nodes delete the same entries at the same offset.
+// advance moves LogicalTime forward to the time of a record, by MaxTimeStep at
+// most, and deletes expired entries. LogicalTime depends on the records alone, so
+// all nodes delete the same entries at the same offset.
 func (s *State) advance(unixMs int64) {
 	if s.LogicalTime == 0 {
 		s.LogicalTime = unixMs
--- a/core/ledger/claim.go
+++ b/core/ledger/claim.go
@@ -6,9 +6,9 @@
 // returns the new claim, or the existing one with KeyTaken.
 //
 // Claims are deleted when their key is older than ClaimWindow by LogicalTime, and a
-// key that old is rejected by the same time. LogicalTime never decreases, so a key
+// key that old is rejected by the same clock. LogicalTime never decreases, so a key
 // whose claim was deleted can never be claimed again, whatever the clocks of the
-// nodes say.
+// nodes show.
 func (s *State) claim(c *pb.Claim, from NodeRef) (Reason, *Claim) {
 	var id ClaimID
 	if copy(id[:], c.GetId()) != len(id) {
--- a/core/ledger/doc.go
+++ b/core/ledger/doc.go
@@ -33,6 +33,6 @@
 //   - a configuration is accepted only on top of the revision it was made for
 //     (GuardRevision).
 //
-// A guard can be switched off through [State.DisabledGuards]. Only model checking does so,
-// to show that the checker finds the fault that the guard prevents.
+// A guard can be switched off through [State.DisabledGuards]. Only model checking
+// does so, to show that the checker finds the fault that the guard prevents.
 package ledger
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -195,7 +195,7 @@
 		t.Errorf("reason = %v, want Unsupported", got)
 	}
 	if got := s.ApplyEntry(4, []byte("no protobuf at all")); len(got) != 0 || s.NextOffset != 5 {
-		t.Errorf("garbage: outcomes %v, next offset %d", got, s.NextOffset)
+		t.Errorf("undecodable entry: outcomes %v, next offset %d; want none and 5", got, s.NextOffset)
 	}
 	if got := s.Apply(5, w.record(load("big", "e1", 1))).Reason; got != Accepted {
 		t.Errorf("record after the undecodable entry: reason = %v, want Accepted", got)
--- a/core/ledger/property_test.go
+++ b/core/ledger/property_test.go
@@ -180,7 +180,7 @@
 		s.ApplyEntry(0, data)
 		s.ApplyEntry(1, data)
 		if s.NextOffset != 2 {
-			t.Error(fmt.Sprint("next offset is ", s.NextOffset))
+			t.Error(fmt.Sprint("next offset is not 2 but ", s.NextOffset))
 		}
 		if _, err := Restore(s.Snapshot()); err != nil {
 			t.Errorf("the state does not survive a snapshot: %v", err)
--- a/core/ledger/state.go
+++ b/core/ledger/state.go
@@ -33,7 +33,7 @@
 // Phases of a placement. A placement in any of them counts against the replica
 // limit and the engine's memory.
 const (
-	// UsedSlots means that the executor sends, or is about to send, the load order.
+	// Loading means that the executor sends, or is about to send, the load order.
 	Loading Phase = iota + 1
 	// Ready means that the engine confirmed the load; it receives requests.
 	Ready
@@ -43,7 +43,7 @@
 	// Quarantined means that the replica was removed, but that an earlier order
 	// may still reach the engine and load it again.
 	Quarantined
-	// QueuedLoads means that the load was accepted and waits for a load slot of the
+	// Queued means that the load was accepted and waits for a load slot of the
 	// weight store.
 	Queued
 )
@@ -173,7 +173,7 @@
 	GuardRevision
 )
 
-// State is the result of applying the log up to NextOffset. It is owned by one
+// State is the result of applying the log entries below NextOffset. It is owned by one
 // goroutine, the control goroutine; request handlers read immutable views of it.
 type State struct {
 	// NextOffset is the offset of the next log entry to apply.
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestAliveUnderBrokenLinks loses all probes on some links of a node. If no node
+// TestAliveUnderBrokenLinks drops all probes on some links of a node. If no node
 // can reach it, every other node must count it as dead; if only one cannot, even
 // its watcher, every other node must count it as alive.
 func TestAliveUnderBrokenLinks(t *testing.T) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestNoFalseSuspicionUnderProbeLoss loses one in twenty messages at random for ten
+// TestNoFalseSuspicionUnderProbeLoss drops one in twenty messages at random for ten
 // minutes. No node may count a live one as dead in any round.
 func TestNoFalseSuspicionUnderProbeLoss(t *testing.T) {
 	for _, n := range []int{7, 60} {
@@ -106,15 +106,15 @@
 		c.rounds(0, 15)
 		rng := rand.New(rand.NewPCG(1, 2))
 		c.cut = func(string, string) bool { return rng.Float64() < 0.05 }
-		flaps := 0
+		falseDeaths := 0
 		for r := 15; r < 615; r++ {
 			c.rounds(r, r+1)
 			for _, name := range c.names {
-				flaps += n - len(c.tables[name].Live(c.now, false))
+				falseDeaths += n - len(c.tables[name].Live(c.now, false))
 			}
 		}
-		if flaps > 0 {
-			t.Errorf("%d nodes: live nodes counted as dead %d times in 600 rounds", n, flaps)
+		if falseDeaths > 0 {
+			t.Errorf("%d nodes: live nodes counted as dead %d times in 600 rounds", n, falseDeaths)
 		}
 	}
 }
@@ -126,24 +126,24 @@
 	for i := range 420 {
 		all = append(all, Member{NodeRef: ledger.NodeRef{Node: fmt.Sprintf("n%03d", i)}, Hall: fmt.Sprint("h", i%15)})
 	}
-	tails, fed := 0, make(map[string]int)
+	tailers, sources := 0, make(map[string]int)
 	for i, m := range all {
 		peers := append(append([]Member(nil), all[:i]...), all[i+1:]...)
 		f := FeedOf(m.Node, m.Hall, peers)
 		if f.TailsLog {
-			tails++
-			fed[m.Node]++
+			tailers++
+			sources[m.Node]++
 		}
 		for _, to := range f.Followers {
-			fed[to.Node]++
+			sources[to.Node]++
 		}
 	}
 	for _, m := range all {
-		if fed[m.Node] != 1 {
-			t.Errorf("%s receives records from %d sources, want 1", m.Node, fed[m.Node])
+		if sources[m.Node] != 1 {
+			t.Errorf("%s receives records from %d sources, want 1", m.Node, sources[m.Node])
 		}
 	}
-	if tails != 30 {
-		t.Errorf("%d nodes read the log, want 30", tails)
+	if tailers != 30 {
+		t.Errorf("%d nodes read the log, want 30", tailers)
 	}
 }
--- a/core/oncekey/oncekey.go
+++ b/core/oncekey/oncekey.go
@@ -1,8 +1,8 @@
 // Package oncekey parses the keys of requests that must run at most once.
 //
-// A key is a UUID version 7 (RFC 9562), which contains its creation time. So claims of old keys can be deleted, and a
-// request with an old key is still told from one with a new key. Package ledger explains why this is safe whatever
-// the clocks show. Package io/caller parses the key of each such request.
+// A key is a UUID version 7 (RFC 9562), which contains its creation time. Claims of old keys can therefore be deleted:
+// a request with an old key is still distinguished from one with a new key. Package ledger explains why this is safe
+// whatever the clocks show. Package io/caller parses the key of each such request.
 package oncekey
 
 import (
@@ -27,8 +27,9 @@
 	Time time.Time
 }
 
-// Parse validates a caller's key at the time now. It returns a refusal: KeyMissing for an empty key, KeyInvalid for a key
-// that is not a UUID version 7 or too far in the future, and KeyExpired for a key older than ledger.ClaimWindow.
+// Parse validates a caller's key at the time now. For an invalid key it returns a refusal: KeyMissing for an empty key,
+// KeyInvalid for a key that is not a UUID version 7 or is too far in the future, and KeyExpired for a key older than
+// ledger.ClaimWindow.
 func Parse(caller, raw string, now time.Time) (Key, error) {
 	if raw == "" {
 		return Key{}, refusal.New(refusal.KeyMissing, "the request must run at most once but has no key")
--- a/core/plan/engines.go
+++ b/core/plan/engines.go
@@ -14,20 +14,20 @@
 func (p *Planner) engineActions(in *Input) []Action {
 	var acts []Action
 	for _, name := range p.ownedEngines(in) {
-		soft := in.Engines[name]
-		if soft.Up == nil || !soft.Reachable {
+		observed := in.Engines[name]
+		if observed.Up == nil || !observed.Reachable {
 			continue
 		}
 		known := in.Ledger.Engines[name]
-		if known != nil && known.Incarnation >= soft.Up.GetIncarnation() {
+		if known != nil && known.Incarnation >= observed.Up.GetIncarnation() {
 			continue
 		}
-		up := proto.Clone(soft.Up).(*pb.EngineUp)
+		up := proto.Clone(observed.Up).(*pb.EngineUp)
 		acts = append(acts, p.propose(in, &pb.Record{Body: &pb.Record_EngineUp{EngineUp: up}})...)
 	}
 	for _, name := range p.ownedEngines(in) {
-		soft, known := in.Engines[name], in.Ledger.Engines[name]
-		if known == nil || soft.Listed || soft.Reachable {
+		observed, known := in.Engines[name], in.Ledger.Engines[name]
+		if known == nil || observed.Listed || observed.Reachable {
 			continue
 		}
 		acts = append(acts, p.propose(in, &pb.Record{Body: &pb.Record_EngineGone{EngineGone: &pb.EngineGone{
--- a/core/plan/loads.go
+++ b/core/plan/loads.go
@@ -195,9 +195,9 @@
 // reachable with its registered incarnation and neither draining nor leaving.
 func (p *Planner) usable(in *Input, engine string) bool {
 	e := in.Ledger.Engines[engine]
-	soft := in.Engines[engine]
-	return e != nil && !e.Draining && soft != nil && soft.Reachable && !soft.Leaving &&
-		soft.Up != nil && soft.Up.GetIncarnation() == e.Incarnation
+	observed := in.Engines[engine]
+	return e != nil && !e.Draining && observed != nil && observed.Reachable && !observed.Leaving &&
+		observed.Up != nil && observed.Up.GetIncarnation() == e.Incarnation
 }
 
 func (p *Planner) anyReady(in *Input, u *catalog.Unit) bool {
--- a/core/plan/orders.go
+++ b/core/plan/orders.go
@@ -28,8 +28,8 @@
 	return acts
 }
 
-// observe returns since when this node has seen the current order of a placement,
-// and records the time if it sees the order for the first time.
+// observe returns when this node first saw the current order of a placement, and
+// records the time if it sees the order for the first time.
 func (p *Planner) observe(in *Input, pl *ledger.Placement) observedOrder {
 	o, ok := p.observed[pl.Key]
 	if !ok || o.fence != pl.Fence {
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -41,7 +41,7 @@
 	// scaleUpDelay is how long requests wait beside ready replicas before the unit
 	// gets another replica.
 	scaleUpDelay = time.Second
-	// minLoadBackoff is the pause of a unit's loads after the first failed one. It
+	// minLoadBackoff is the backoff of a unit's loads after the first failed one. It
 	// doubles with each failure, at most maxLoadBackoffDoublings times.
 	minLoadBackoff          = 500 * time.Millisecond
 	maxLoadBackoffDoublings = 4
@@ -58,8 +58,8 @@
 	// time stays loaded and whether an unloaded unit is prewarmed. share is the
 	// fraction of an engine's memory that the replica takes.
 	Decide(unit string, share float64, idle time.Duration, now time.Time) policy.Decision
-	// ReloadCost returns the expected cost of unloading a replica that has been idle for
-	// the given time.
+	// ReloadCost returns the expected cost of unloading a replica that has been idle
+	// for the given time.
 	ReloadCost(unit string, idle time.Duration, now time.Time) float64
 	// Used reports that the unit was in use at a time.
 	Used(unit string, at time.Time)
@@ -236,8 +236,9 @@
 	return acts
 }
 
-// ResolveProposal reports to the planner the outcome of a record that it proposed. An
-// accepted order starts its lease; a rejected proposal is paused briefly.
+// ResolveProposal reports to the planner the outcome of a record that it proposed.
+// An accepted order starts its lease; a rejected proposal is not repeated for
+// rejectedBackoff.
 func (p *Planner) ResolveProposal(o ledger.Outcome, now time.Time) {
 	s := subject(o.Record)
 	if s == "" {
--- a/core/plan/unloads.go
+++ b/core/plan/unloads.go
@@ -89,13 +89,13 @@
 	u := in.Ledger.Catalog.Units[pl.Unit]
 	d := in.Demand.Get(pl.Unit, in.Now)
 	idle := p.idleTime(in, pl, d)
-	soft := in.Engines[pl.Engine]
+	observed := in.Engines[pl.Engine]
 	switch {
 	case u == nil || u.Versions[pl.Version] == 0:
 		return false, "unloads: the configuration no longer has it"
 	case u.Banned:
 		return false, "unloads: banned"
-	case e.Draining || (soft != nil && soft.Leaving):
+	case e.Draining || (observed != nil && observed.Leaving):
 		return false, "unloads: engine " + pl.Engine + " is leaving"
 	case pl.Version != u.Serving:
 		if p.anyReady(in, u) {
--- a/core/policy/costed.go
+++ b/core/policy/costed.go
@@ -30,7 +30,7 @@
 type Costed struct {
 	*Learner
 	Weights Weights
-	// Off holds the parts that are switched off, for ablation experiments.
+	// Off holds the parts that are switched off; only ablation experiments set it.
 	Off Part
 }
 
@@ -114,8 +114,8 @@
 	return p
 }
 
-// ReloadCost returns the expected cost of unloading a replica that has been idle for a
-// time: the cost of a cold start, times the probability of a use within
+// ReloadCost returns the expected cost of unloading a replica that has been idle
+// for a time: the cost of a cold start, times the probability of a use within
 // reloadHorizon.
 func (c *Costed) ReloadCost(unit string, idle time.Duration, now time.Time) float64 {
 	if !c.enabled(PartReloadCost) {
@@ -137,7 +137,7 @@
 	return Decision{Hold: idle < f.Keep, Why: "kept " + f.Keep.String() + " after use"}
 }
 
-// ReloadCost returns a cost that falls with the idle time.
+// ReloadCost returns a cost that decreases with the idle time.
 func (f Fixed) ReloadCost(_ string, idle time.Duration, _ time.Time) float64 {
 	return 1 / (1 + idle.Seconds())
 }
--- a/core/policy/learner.go
+++ b/core/policy/learner.go
@@ -18,7 +18,7 @@
 	// estimate for one unit.
 	priorWeight = 2.0
 	// sessionGap is the pause that ends a session, a burst of uses. Shorter pauses
-	// say nothing about when to unload and are not recorded.
+	// do not affect when to unload and are not recorded.
 	sessionGap = firstBinEdge
 )
 
--- a/core/policy/place.go
+++ b/core/policy/place.go
@@ -110,15 +110,15 @@
 // reload cost.
 func placeByEviction(need uint64, cands []Candidate) (Choice, bool) {
 	var best Choice
-	bestLoss, found := 0.0, false
+	bestCost, found := 0.0, false
 	for i := range cands {
-		evict, loss, ok := cheapestEviction(need, &cands[i])
+		evict, cost, ok := cheapestEviction(need, &cands[i])
 		if !ok {
 			continue
 		}
-		if !found || loss < bestLoss || (loss == bestLoss && cands[i].Engine < best.Engine) {
+		if !found || cost < bestCost || (cost == bestCost && cands[i].Engine < best.Engine) {
 			best = Choice{Engine: cands[i].Engine, Evict: evict}
-			bestLoss, found = loss, true
+			bestCost, found = cost, true
 		}
 	}
 	return best, found
@@ -127,7 +127,7 @@
 // cheapestEviction selects victims by rising reload cost per byte until need bytes
 // are free; ok is false if all victims together are not enough. Victims with an
 // infinite reload cost are never selected.
-func cheapestEviction(need uint64, c *Candidate) (evict []Victim, loss float64, ok bool) {
+func cheapestEviction(need uint64, c *Candidate) (evict []Victim, cost float64, ok bool) {
 	vs := append([]Victim(nil), c.Victims...)
 	sort.Slice(vs, func(i, j int) bool {
 		a, b := vs[i].ReloadCost/float64(vs[i].Bytes), vs[j].ReloadCost/float64(vs[j].Bytes)
@@ -137,25 +137,25 @@
 		return vs[i].Unit < vs[j].Unit
 	})
 	free := c.Free
-	gone := make(map[string]bool)
+	evicted := make(map[string]bool)
 	for _, v := range vs {
 		if free >= need {
 			break
 		}
-		if gone[v.Unit] || math.IsInf(v.ReloadCost, 1) {
+		if evicted[v.Unit] || math.IsInf(v.ReloadCost, 1) {
 			continue
 		}
 		for _, f := range v.Adapters {
-			if gone[f.Unit] {
+			if evicted[f.Unit] {
 				// The adapter was selected on its own before.
 				v.Bytes -= f.Bytes
 			}
-			gone[f.Unit] = true
+			evicted[f.Unit] = true
 		}
-		gone[v.Unit] = true
+		evicted[v.Unit] = true
 		evict = append(evict, v)
 		free += v.Bytes
-		loss += v.ReloadCost
+		cost += v.ReloadCost
 	}
-	return evict, loss, free >= need
+	return evict, cost, free >= need
 }
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -13,8 +13,8 @@
 // TestPlace checks the engine and the evictions that Place chooses for a unit of
 // 10 GiB, one criterion per case.
 func TestPlace(t *testing.T) {
-	idle := func(unit string, size uint64, loss float64) Victim {
-		return Victim{Unit: unit, Bytes: size * gib, ReloadCost: loss}
+	idle := func(unit string, size uint64, reloadCost float64) Victim {
+		return Victim{Unit: unit, Bytes: size * gib, ReloadCost: reloadCost}
 	}
 	tests := []struct {
 		name  string
