--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -298,8 +298,8 @@
 }
 
 func (c *Controller) instanceLeaving(in instancelist.Instance) bool {
-	_, told := c.leaving[in.ID]
-	return told || in.State == instancelist.StateDraining
+	_, announced := c.leaving[in.ID]
+	return announced || in.State == instancelist.StateDraining
 }
 
 // watchers holds the channel that is closed at the next change of the configuration
@@ -352,8 +352,8 @@
 	}
 }
 
-// announceLeaving makes the control goroutine tell the neighbours that this node is
-// leaving.
+// announceLeaving makes the control goroutine notify the neighbours that this node
+// is leaving.
 type announceLeaving struct{}
 
 func (announceLeaving) handle(c *Controller) {
--- a/internal/control/loops.go
+++ b/internal/control/loops.go
@@ -186,7 +186,7 @@
 			} else {
 				misses[results[i].id]++
 			}
-			results[i].lost = misses[results[i].id] >= maxEngineMisses
+			results[i].unreachable = misses[results[i].id] >= maxEngineMisses
 			c.inbox.Send(ctx, results[i])
 		}
 		every := engineInterval
@@ -238,8 +238,8 @@
 	address string
 	status  engine.Status
 	ok      bool
-	// lost is true after maxEngineMisses or more consecutive failures.
-	lost bool
+	// unreachable is true after maxEngineMisses or more consecutive failures.
+	unreachable bool
 }
 
 func (m engineResult) handle(c *Controller) {
@@ -248,7 +248,7 @@
 		return
 	}
 	if !m.ok {
-		if m.lost && e.Reachable {
+		if m.unreachable && e.Reachable {
 			e.Reachable = false
 			c.builder.TouchAll()
 			c.viewStale = true
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -45,7 +45,7 @@
 func (m peerContact) handle(c *Controller) { c.members.ObserveAlive(m.ref, c.Clock.Now()) }
 
 // probeLoop probes the neighbours every probeInterval. Their answers prove that
-// they are alive and tell their next offset.
+// they are alive and report their next offset.
 func (c *Controller) probeLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		round, ok := ask(ctx, c, (*Controller).nextProbes)
@@ -70,7 +70,7 @@
 	now := c.Clock.Now()
 	targets, watched := membership.ProbeRound(c.Self.Node, c.members.Peers(now), c.probeRound)
 	c.probeRound++
-	// The feeder is probed too: its answer tells whether it has newer entries.
+	// The feeder is probed too: its answer shows whether it has newer entries.
 	if f, ok := c.members.Member(c.feed.Feeder); ok && !probed(targets, f.Node) {
 		targets = append(targets, f)
 	}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -35,8 +35,8 @@
 		es := &pb.EndpointStatus{
 			Name: name, Hall: e.Hall, Address: e.Address, MemoryBytes: e.MemoryBytes, UsedBytes: e.Used, Draining: e.Draining,
 		}
-		if soft := c.engines[name]; soft != nil {
-			es.Leaving = soft.Leaving
+		if observed := c.engines[name]; observed != nil {
+			es.Leaving = observed.Leaving
 		}
 		st.Endpoints = append(st.Endpoints, es)
 	}
