--- a/io/peer/grant.go
+++ b/io/peer/grant.go
@@ -41,7 +41,7 @@
 	Limit    float64 `json:"limit,omitempty"`
 	// Cold is true if Limit is the rate that the endpoint accepts while it is cold.
 	Cold bool `json:"cold,omitempty"`
-	// Need is the cost of one request, and Ahead the additional amount to prefetch, in the units of the limit.
+	// Need is the cost of one request, and Prefetch the additional amount to prefetch, in the units of the limit.
 	Need     float64 `json:"need,omitempty"`
 	Prefetch float64 `json:"ahead,omitempty"`
 }
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Grant is the lease holder's answer to a CreditQuestion.
+// Grant is the lease holder's answer to a GrantRequest.
 type Grant struct {
 	// Nodes is the number of nodes among which limits are divided.
 	Nodes int `json:"members"`
@@ -91,7 +91,7 @@
 	}
 }
 
-// Grant sends a grant request to the lease holder at an address.
+// RequestGrant sends a grant request to the lease holder at an address.
 func (c *Client) RequestGrant(ctx context.Context, address string, q *GrantRequest) (*Grant, error) {
 	var a Grant
 	if err := c.post(ctx, grantTimeout, address+pathGrant, q, &a); err != nil {
--- a/io/peer/grant_test.go
+++ b/io/peer/grant_test.go
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestGrantRoundTrip checks that grant requests and answers survive the round trip, and that a node without the lease answers
-// ErrNotHolder.
+// TestGrantRoundTrip checks that grant requests and answers survive the round trip, and that a node without the lease
+// answers ErrNotHolder.
 func TestGrantRoundTrip(t *testing.T) {
 	h := &fakeHolder{}
 	srv := httptest.NewServer(Handler(h))
@@ -25,22 +25,23 @@
 	if _, err := answered(t, ask); !errors.Is(err, ErrNotHolder) {
 		t.Errorf("a node without the lease answered %v", err)
 	}
-	h.credit = &Grant{Nodes: 71, AfterMs: 120}
+	h.grant = &Grant{Nodes: 71, AfterMs: 120}
 	got, err := answered(t, ask)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(h.credit, got); diff != "" {
+	if diff := cmp.Diff(h.grant, got); diff != "" {
 		t.Errorf("answer (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(*q, h.asked); diff != "" {
+	if diff := cmp.Diff(*q, h.grantRequest); diff != "" {
 		t.Errorf("request (-want +got):\n%s", diff)
 	}
 }
 
-// TestInvalidGrantRequests checks that grant requests that are malformed, too long or ask for invalid amounts get status 400.
+// TestInvalidGrantRequests checks that grant requests that are malformed, too long or ask for invalid amounts get
+// status 400.
 func TestInvalidGrantRequests(t *testing.T) {
-	h := &fakeHolder{credit: &Grant{}}
+	h := &fakeHolder{grant: &Grant{}}
 	srv := httptest.NewServer(Handler(h))
 	defer srv.Close()
 	for _, body := range []string{"", "{", `{"need":-1}`, `{"ahead":-0.5}`, `{"need":1e999}`, `{"need":"1"}`, strings.Repeat(" ", maxRequestBytes) + "{}"} {
@@ -50,7 +51,7 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != http.StatusBadRequest {
-			t.Errorf("%.20q: status %d", body, resp.StatusCode)
+			t.Errorf("%.20q: status %d, want 400", body, resp.StatusCode)
 		}
 	}
 }
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -3,11 +3,12 @@
 //
 // Each node posts a [Report] with its demand to the holder, and long-polls it for a [Snapshot] of what changed since
 // the last one that the node received. The holder answers the poll when something changes, or without changes after
-// [WatchRequest.Wait], which shows that the holder is running. So the holder learns of a waiting request, and the nodes of
-// a loaded model, within milliseconds; a lost message only adds delay and breaks no guarantee. In a large fleet the
-// holder sends snapshots only to some nodes, the feeders, which forward them to their followers (package feedtree). A
-// node that can reach neither the holder nor the store asks any other node who holds the lease. Further calls request
-// grants from limits, acquire the run locks of isolated requests, and exchange quarantine state between two nodes.
+// [WatchRequest.Wait], which shows that the holder is running. The holder thus learns of a waiting request, and the
+// nodes of a loaded model, within milliseconds; a lost message only adds delay and breaks no guarantee. In a large
+// fleet the holder sends snapshots only to some nodes, the feeders, which forward them to their followers (package
+// feedtree). A node that can reach neither the holder nor the store asks any other node who holds the lease. Further
+// calls request grants from limits, acquire the run locks of isolated requests, and exchange quarantine state between
+// two nodes.
 //
 // Package internal/placer implements [Holder] and uses [Client].
 //
@@ -45,7 +46,7 @@
 	// callTimeout bounds a call, and is added to the wait of a watch request for the round trip. Nodes are a few
 	// milliseconds apart.
 	callTimeout = 700 * time.Millisecond
-	// lookupTimeout bounds the question who holds the lease; the next node is asked after it.
+	// lookupTimeout bounds a call that asks a node who holds the lease; after it the next node is asked.
 	lookupTimeout = 300 * time.Millisecond
 	// maxMessageBytes bounds a message other than a snapshot.
 	maxMessageBytes = 4 << 20
@@ -65,9 +66,9 @@
 // ErrNoHolder is returned if the called node does not know who holds the lease.
 var ErrNoHolder = errors.New("the node does not know who holds the lease; ask another node")
 
-// PoolUsage is a node's demand for one unit, which is named by its pool. Waiting counts the requests in the queue, Arrivals those
-// that came since the previous report, and SentAway those that were refused with a retry hint since then. RunningAt counts
-// the running requests by engine.
+// PoolUsage is a node's demand for one unit, which is named by its pool. Waiting counts the requests in the queue,
+// Arrivals those that came since the previous report, and SentAway those that were refused with a retry hint since
+// then. RunningAt counts the running requests by engine.
 type PoolUsage struct {
 	Pool     string `json:"pool"`
 	Waiting  int    `json:"waiting,omitempty"`
@@ -104,9 +105,9 @@
 	Partitioned bool        `json:"alone,omitempty"`
 	Use         []PoolUsage `json:"use"`
 	Misses      []Miss      `json:"misses,omitempty"`
-	// EncodeSuspects is the node's own evidence on requests suspected of crashing engines, if it changed.
+	// Suspects is the node's own evidence on requests suspected of crashing engines, if it changed.
 	Suspects []Suspect `json:"suspects,omitempty"`
-	// EncodeSignals are the endpoints' own signals that the node has observed, if they changed.
+	// Signals are the endpoints' own signals that the node has observed, if they changed.
 	Signals []Signal `json:"signals,omitempty"`
 }
 
@@ -118,7 +119,7 @@
 	Version uint64 `json:"version"`
 	// Nodes is the largest number of nodes, the holder included, that the holder has recently heard from.
 	Nodes int `json:"nodes"`
-	// Successor is the node that takes the lease if the holder falls silent.
+	// Successor is the node that takes over the lease if the holder falls silent.
 	Successor string `json:"successor,omitempty"`
 	// Peers are addresses of other nodes to ask for the holder once this one no longer answers, if they changed.
 	Peers []string `json:"peers,omitempty"`
@@ -134,7 +135,7 @@
 	HolderAgeMs int64 `json:"holderAgeMs,omitempty"`
 	// HeldMs is how long the watch request was kept open, in milliseconds.
 	HeldMs int64 `json:"heldMs"`
-	// Full is true if the snapshot is full: Serving names every engine, not only the changed ones.
+	// Full is true for a full snapshot, in which Serving names every engine, not only the changed ones.
 	Full bool `json:"whole,omitempty"`
 	// Serving maps each engine to the pools that it can serve.
 	Serving map[string][]string `json:"serving,omitempty"`
@@ -142,10 +143,11 @@
 	Removed []string `json:"gone,omitempty"`
 	// ReadyInMs maps the pool of each unit that no engine serves yet to the expected time until one does, in milliseconds.
 	ReadyInMs map[string]int64 `json:"readyInMs,omitempty"`
-	// EncodeSuspects are the shared entries of requests suspected of crashing engines that changed. SuspectsTo is the version that the requester has once it has merged them.
+	// Suspects are the shared entries of requests suspected of crashing engines that changed. SuspectsTo is the version
+	// that the requester has once it has merged them.
 	Suspects   []Suspect `json:"suspects,omitempty"`
 	SuspectsTo uint64    `json:"suspectsTo,omitempty"`
-	// EncodeSignals are the endpoints' own signals that changed. SignalsTo is the version that the requester has once it
+	// Signals are the endpoints' own signals that changed. SignalsTo is the version that the requester has once it
 	// has merged them.
 	Signals   []Signal `json:"signals,omitempty"`
 	SignalsTo uint64   `json:"signalsTo,omitempty"`
@@ -195,7 +197,7 @@
 // WatchRequest is a node's watch request to the lease holder or to a feeder.
 type WatchRequest struct {
 	Node string
-	// Term and Version identify the latest snapshot that the node has received.
+	// Life and Version identify the latest snapshot that the node has received; Life is its Snapshot.Term.
 	Life    string
 	Version uint64
 	// Config is the version of the configuration that the node has.
@@ -218,13 +220,13 @@
 type Holder interface {
 	// Reported merges a node's report.
 	Reported(r *Report) error
-	// Watch returns what changed since the requester's snapshot, and waits up to Question.Wait for a change.
+	// Watch returns what changed since the requester's snapshot, and waits up to WatchRequest.Wait for a change.
 	Watch(ctx context.Context, q WatchRequest) (*Snapshot, error)
 	// LeaseMark returns the latest lease record that the node knows, or nil if it knows no holder.
 	LeaseMark() *LeaseMark
-	// Grant answers a request for a grant from the limit of a customer or of an endpoint.
+	// Credit answers a request for a grant from the limit of a customer or of an endpoint.
 	Credit(q *GrantRequest) (*Grant, error)
-	// RequestRunLock acquires or releases the lock under which copies of an isolated request run one at a time.
+	// Turn acquires or releases the lock under which copies of an isolated request run one at a time.
 	Turn(q *RunLockRequest) (*RunLock, error)
 	Exchanger
 }
@@ -261,7 +263,7 @@
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
 		}
-		raw, encoding, err := snapshotBody(s, takesGzip(r))
+		raw, encoding, err := snapshotBody(s, acceptsGzip(r))
 		writeBody(w, raw, encoding, err)
 	})
 	mux.HandleFunc("GET "+pathLease, func(w http.ResponseWriter, r *http.Request) {
@@ -286,7 +288,7 @@
 func writeJSON(w http.ResponseWriter, r *http.Request, message any) {
 	raw, err := json.Marshal(message)
 	encoding := ""
-	if err == nil && len(raw) >= minGzipBytes && takesGzip(r) {
+	if err == nil && len(raw) >= minGzipBytes && acceptsGzip(r) {
 		raw, encoding = compress(raw), encodingGzip
 	}
 	writeBody(w, raw, encoding, err)
@@ -295,7 +297,7 @@
 // encodingGzip is the HTTP content coding of compressed answers.
 const encodingGzip = "gzip"
 
-func takesGzip(r *http.Request) bool {
+func acceptsGzip(r *http.Request) bool {
 	return strings.Contains(r.Header.Get("Accept-Encoding"), encodingGzip)
 }
 
@@ -454,7 +456,7 @@
 	return c.doWithLimit(req, answer, maxMessageBytes, func() {})
 }
 
-// doWithLimit makes a call whose answer may have up to most bytes, and calls progress after each read of it.
+// doWithLimit makes a call whose answer may have up to limit bytes, and calls progress after each read of it.
 func (c *Client) doWithLimit(req *http.Request, answer any, limit int64, progress func()) error {
 	resp, err := c.http.Do(req)
 	if err != nil {
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -19,31 +19,31 @@
 
 // fakeHolder records what it receives and answers with preset messages.
 type fakeHolder struct {
-	turn      *RunLock
-	turnAsked RunLockRequest
-	snapshot  *Snapshot
-	question  WatchRequest
-	report    Report
-	mark      *LeaseMark
-	exchange  Exchange
-	asked     GrantRequest
-	credit    *Grant
+	runLock        *RunLock
+	runLockRequest RunLockRequest
+	snapshot       *Snapshot
+	watchRequest   WatchRequest
+	report         Report
+	mark           *LeaseMark
+	exchange       Exchange
+	grantRequest   GrantRequest
+	grant          *Grant
 }
 
 func (h *fakeHolder) Credit(q *GrantRequest) (*Grant, error) {
-	if h.credit == nil {
+	if h.grant == nil {
 		return nil, ErrNotHolder
 	}
-	h.asked = *q
-	return h.credit, nil
+	h.grantRequest = *q
+	return h.grant, nil
 }
 
 func (h *fakeHolder) Turn(q *RunLockRequest) (*RunLock, error) {
-	if h.turn == nil {
+	if h.runLock == nil {
 		return nil, ErrNotHolder
 	}
-	h.turnAsked = *q
-	return h.turn, nil
+	h.runLockRequest = *q
+	return h.runLock, nil
 }
 
 func (h *fakeHolder) Exchange(e *Exchange) *Exchange {
@@ -56,15 +56,15 @@
 func (h *fakeHolder) Reported(r *Report) error { h.report = *r; return nil }
 
 func (h *fakeHolder) Watch(_ context.Context, q WatchRequest) (*Snapshot, error) {
-	h.question = q
+	h.watchRequest = q
 	return h.snapshot, nil
 }
 
-// calls bounds how often a call is repeated that runs into its timeout.
+// calls bounds the attempts at a call that runs into its timeout.
 const calls = 100
 
-// answered repeats a call until it is answered in time. A busy machine may take longer than a node's timeout: 700 ms were
-// seen beside 18 other busy processes on six cores.
+// answered repeats a call until it is answered in time. A busy machine may take longer than a node's timeout: a call
+// took 700 ms beside 18 other busy processes on six cores.
 func answered[T any](t *testing.T, call func() (T, error)) (T, error) {
 	t.Helper()
 	for range calls {
@@ -73,7 +73,7 @@
 			return got, err
 		}
 	}
-	t.Fatal("no answer")
+	t.Fatal("every attempt ran into its timeout")
 	panic("not reached")
 }
 
@@ -88,10 +88,10 @@
 	defer srv.Close()
 	address := strings.TrimPrefix(srv.URL, "http://")
 	c := NewClient(&net.Dialer{Timeout: time.Second})
-	question := WatchRequest{Node: "n", Life: "a-1", Version: 2, Config: 7, Wait: 250 * time.Millisecond}
+	request := WatchRequest{Node: "n", Life: "a-1", Version: 2, Config: 7, Wait: 250 * time.Millisecond}
 	for _, want := range []*Snapshot{{Term: "a-1", Version: 3}, long} {
 		h.snapshot = want
-		got, err := answered(t, func() (*Snapshot, error) { return c.Watch(t.Context(), address, question) })
+		got, err := answered(t, func() (*Snapshot, error) { return c.Watch(t.Context(), address, request) })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -99,7 +99,7 @@
 			t.Errorf("snapshot (-want +got):\n%s", diff)
 		}
 	}
-	if diff := cmp.Diff(question, h.question); diff != "" {
+	if diff := cmp.Diff(request, h.watchRequest); diff != "" {
 		t.Errorf("watch request (-want +got):\n%s", diff)
 	}
 	report := Report{Node: "n", Strength: 4, Use: []PoolUsage{{Pool: "unit/s/m", Waiting: 1, UrgentInMs: -3, LastInMs: 40}}}
@@ -139,13 +139,13 @@
 		w := httptest.NewRecorder()
 		Handler(&fakeHolder{}).ServeHTTP(w, httptest.NewRequest("POST", pathReport, bytes.NewReader(raw)))
 		if w.Code != 204 && w.Code != 400 {
-			t.Fatalf("status %d", w.Code)
+			t.Fatalf("status %d, want 204 or 400", w.Code)
 		}
 	})
 }
 
-// FuzzQuestion checks that any query string of a watch request is parsed without a panic or a negative wait.
-func FuzzQuestion(f *testing.F) {
+// FuzzWatchRequest checks that any query string of a watch request is parsed without a panic or a negative wait.
+func FuzzWatchRequest(f *testing.F) {
 	f.Add("node=n&life=a-1&version=2&config=7&waitMs=250")
 	f.Add("version=-1&waitMs=99999999999999999999")
 	f.Add("version=1&config=1&waitMs=-5")
--- a/io/peer/quarantine.go
+++ b/io/peer/quarantine.go
@@ -20,8 +20,8 @@
 	Verdict    *Verdict               `json:"verdict,omitempty"`
 }
 
-// Suspicion is the suspicion that a request caused one engine crash. RanMs is how long the request ran, and Begun is true
-// if its answer had begun.
+// Suspicion is the suspicion that a request caused one engine crash. RanMs is how long the request ran, and Begun is
+// true if its answer had begun.
 type Suspicion struct {
 	quarantine.CrashID
 	RanMs int64 `json:"ranMs"`
@@ -41,8 +41,8 @@
 	for i := range entries {
 		e := &entries[i]
 		s := Suspect{Request: e.Request, Epoch: e.Epoch, AgeMs: now.Sub(e.At).Milliseconds()}
-		for _, b := range e.Suspicions {
-			s.Suspicions = append(s.Suspicions, Suspicion{CrashID: b.End, RanMs: b.Elapsed.Milliseconds(), Begun: b.Begun, AgeMs: now.Sub(b.At).Milliseconds()})
+		for _, c := range e.Suspicions {
+			s.Suspicions = append(s.Suspicions, Suspicion{CrashID: c.End, RanMs: c.Elapsed.Milliseconds(), Begun: c.Begun, AgeMs: now.Sub(c.At).Milliseconds()})
 		}
 		if e.Verdict != nil {
 			s.Verdict = &Verdict{AgeMs: now.Sub(e.Verdict.At).Milliseconds(), Trials: e.Verdict.Trials}
@@ -58,8 +58,8 @@
 	for i := range suspects {
 		s := &suspects[i]
 		e := quarantine.Entry{Request: s.Request, Epoch: s.Epoch, At: timeFromAge(now, s.AgeMs)}
-		for _, b := range s.Suspicions {
-			e.Suspicions = append(e.Suspicions, quarantine.Suspicion{End: b.CrashID, Elapsed: clampMs(b.RanMs), Begun: b.Begun, At: timeFromAge(now, b.AgeMs)})
+		for _, c := range s.Suspicions {
+			e.Suspicions = append(e.Suspicions, quarantine.Suspicion{End: c.CrashID, Elapsed: clampMs(c.RanMs), Begun: c.Begun, At: timeFromAge(now, c.AgeMs)})
 		}
 		if s.Verdict != nil {
 			e.Verdict = &quarantine.Verdict{At: timeFromAge(now, s.Verdict.AgeMs), Trials: max(0, s.Verdict.Trials)}
@@ -81,16 +81,16 @@
 
 // Exchange is the quarantine state that two nodes send each other while no lease holder merges it for all.
 type Exchange struct {
-	// Node is the sender, and Life identifies the incarnation of its process.
+	// Node is the sender, and Incarnation identifies the incarnation of its process.
 	Node        string `json:"node"`
 	Incarnation string `json:"life"`
-	// Since is the version of the receiver's state, in the incarnation Of of the receiver, that the sender has merged.
+	// Since is the version of the receiver's state, in its incarnation ReceiverIncarnation, that the sender has merged.
 	Since               uint64 `json:"since,omitempty"`
 	ReceiverIncarnation string `json:"of,omitempty"`
 	// Version is the version of the sender's state that the receiver has once it has merged Suspects.
 	Version  uint64    `json:"version"`
 	Suspects []Suspect `json:"suspects,omitempty"`
-	// EncodeSignals are all endpoint signals that the sender knows.
+	// Signals are all endpoint signals that the sender knows.
 	Signals []Signal `json:"signals,omitempty"`
 }
 
--- a/io/peer/quarantine_test.go
+++ b/io/peer/quarantine_test.go
@@ -74,7 +74,7 @@
 		h := &fakeHolder{}
 		Handler(h).ServeHTTP(w, httptest.NewRequest("POST", pathExchange, bytes.NewReader(raw)))
 		if w.Code != 200 && w.Code != 400 {
-			t.Fatalf("status %d", w.Code)
+			t.Fatalf("status %d, want 200 or 400", w.Code)
 		}
 		r := quarantine.NewRegistry(now)
 		r.Merge(DecodeSuspects(h.exchange.Suspects, now), now)
--- a/io/peer/runlock.go
+++ b/io/peer/runlock.go
@@ -21,12 +21,12 @@
 	Request quarantine.Fingerprint `json:"request"`
 	// Run identifies the run among all runs of all nodes and of their incarnations.
 	Run string `json:"run"`
-	// Release releases the lock. Well is true if an engine has answered the run.
+	// Release releases the lock. Answered is true if an engine has answered the run.
 	Release  bool `json:"release,omitempty"`
 	Answered bool `json:"well,omitempty"`
 }
 
-// RequestRunLock is the lease holder's answer to a TurnQuestion.
+// RunLock is the lease holder's answer to a RunLockRequest.
 type RunLock struct {
 	// AfterMs is the time after which to ask again, in milliseconds; 0 if the lock was acquired.
 	AfterMs int64 `json:"afterMs,omitempty"`
--- a/io/peer/runlock_test.go
+++ b/io/peer/runlock_test.go
@@ -14,7 +14,8 @@
 	"olivetiller/core/quarantine"
 )
 
-// TestRunLockRoundTrip checks that run lock requests and answers survive the round trip, and that malformed ones get status 400.
+// TestRunLockRoundTrip checks that run lock requests and answers survive the round trip, and that malformed ones get
+// status 400.
 func TestRunLockRoundTrip(t *testing.T) {
 	h := &fakeHolder{}
 	srv := httptest.NewServer(Handler(h))
@@ -26,15 +27,15 @@
 	if _, err := answered(t, ask); !errors.Is(err, ErrNotHolder) {
 		t.Errorf("a node without the lease answered %v", err)
 	}
-	h.turn = &RunLock{AfterMs: 450}
+	h.runLock = &RunLock{AfterMs: 450}
 	got, err := answered(t, ask)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(h.turn, got); diff != "" {
+	if diff := cmp.Diff(h.runLock, got); diff != "" {
 		t.Errorf("answer (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(*q, h.turnAsked); diff != "" {
+	if diff := cmp.Diff(*q, h.runLockRequest); diff != "" {
 		t.Errorf("request (-want +got):\n%s", diff)
 	}
 	for _, body := range []string{"", "{", `{"request":"00"}`, `{"request":7}`} {
@@ -44,7 +45,7 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != http.StatusBadRequest {
-			t.Errorf("%.20q: status %d", body, resp.StatusCode)
+			t.Errorf("%.20q: status %d, want 400", body, resp.StatusCode)
 		}
 	}
 }
--- a/io/peer/shared.go
+++ b/io/peer/shared.go
@@ -10,9 +10,9 @@
 	"olivetiller/core/directory"
 )
 
-// Shared is the part of full snapshots that is the same for all nodes. It is encoded and compressed once: with 300 nodes
-// and 3,000 engines, a new holder that encodes it for each node answers later than the nodes' timeout. It must not be
-// changed after its first use.
+// Shared is the part of full snapshots that is the same for all nodes. It is encoded and compressed once: with 300
+// nodes and 3,000 engines, a new holder that encodes it for each node answers later than the nodes' timeout. It must
+// not be changed after its first use.
 type Shared struct {
 	Serving   map[string][]string `json:"serving,omitempty"`
 	Instances []directory.Record  `json:"instances,omitempty"`
--- a/io/peer/shared_test.go
+++ b/io/peer/shared_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// BenchmarkWholeSnapshots measures the encoding of one full snapshot by a holder of 3,000 engines when many nodes request
-// one at once: 5.0 ms if each is encoded separately, 0.03 ms with the shared part.
-func BenchmarkWholeSnapshots(b *testing.B) {
+// BenchmarkFullSnapshots measures the encoding of one full snapshot by a holder of 3,000 engines when many nodes
+// request one at once: 5.0 ms if each is encoded separately, 0.03 ms with the shared part.
+func BenchmarkFullSnapshots(b *testing.B) {
 	shared := &Shared{}
 	for i := range 3000 {
 		id := fmt.Sprint("i-", i)
--- a/io/peer/signal.go
+++ b/io/peer/signal.go
@@ -23,8 +23,8 @@
 // EncodeSignals encodes endpoint reports, with ages relative to now.
 func EncodeSignals(reports []signal.Report, now time.Time) []Signal {
 	out := make([]Signal, 0, len(reports))
-	for _, w := range reports {
-		out = append(out, Signal{Endpoint: w.Endpoint, Born: w.Start, Limit: w.Limit, AgeMs: now.Sub(w.At).Milliseconds(), Draining: w.Draining, BackoffMs: max(0, w.BackoffUntil.Sub(now).Milliseconds())})
+	for _, r := range reports {
+		out = append(out, Signal{Endpoint: r.Endpoint, Born: r.Start, Limit: r.Limit, AgeMs: now.Sub(r.At).Milliseconds(), Draining: r.Draining, BackoffMs: max(0, r.BackoffUntil.Sub(now).Milliseconds())})
 	}
 	return out
 }
@@ -33,9 +33,9 @@
 func DecodeSignals(signals []Signal, now time.Time) []signal.Report {
 	out := make([]signal.Report, 0, len(signals))
 	for _, s := range signals {
-		w := signal.Report{Incarnation: signal.Incarnation{Endpoint: s.Endpoint, Start: s.Born}, Limit: s.Limit, At: timeFromAge(now, s.AgeMs), Draining: s.Draining, BackoffUntil: now.Add(clampMs(s.BackoffMs))}
-		if w.Check() == nil {
-			out = append(out, w)
+		r := signal.Report{Incarnation: signal.Incarnation{Endpoint: s.Endpoint, Start: s.Born}, Limit: s.Limit, At: timeFromAge(now, s.AgeMs), Draining: s.Draining, BackoffUntil: now.Add(clampMs(s.BackoffMs))}
+		if r.Check() == nil {
+			out = append(out, r)
 		}
 	}
 	return out
--- a/io/peer/signal_test.go
+++ b/io/peer/signal_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// FuzzSignals checks that no message of endpoint signals causes a panic, and that every accepted report is valid and has
-// plausible times.
+// FuzzSignals checks that no message of endpoint signals causes a panic, and that every accepted report is valid and
+// has plausible times.
 func FuzzSignals(f *testing.F) {
 	f.Add([]byte(`[{"endpoint":"i-1","born":7,"limit":1.5,"ageMs":20,"leaving":true,"restMs":300}]`))
 	f.Add([]byte(`[{"endpoint":"","limit":-1,"ageMs":-9223372036854775808,"restMs":9223372036854775807}]`))
@@ -46,11 +46,11 @@
 		}
 		now := time.Unix(1000, 0)
 		b := signal.NewRegistry()
-		for _, w := range DecodeSignals(received, now) {
-			if w.Check() != nil || w.At.After(now) || w.BackoffUntil.Before(now) {
-				t.Errorf("accepted: %+v", w)
+		for _, r := range DecodeSignals(received, now) {
+			if r.Check() != nil || r.At.After(now) || r.BackoffUntil.Before(now) {
+				t.Errorf("invalid report accepted: %+v", r)
 			}
-			b.Merge(w, now)
+			b.Merge(r, now)
 		}
 	})
 }
--- a/io/peer/silence_test.go
+++ b/io/peer/silence_test.go
@@ -15,8 +15,8 @@
 	"olivetiller/core/feedtree"
 )
 
-// TestAnswerTooLarge guards against an answer that exhausts a node's memory: a process at the address that sends without
-// end must be cut off at maxSnapshotBytes.
+// TestAnswerTooLarge guards against an answer that exhausts a node's memory: the client must stop reading at
+// maxSnapshotBytes if the process at the address sends without end.
 func TestAnswerTooLarge(t *testing.T) {
 	part := bytes.Repeat([]byte(" "), 1<<20)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestWatchRequestRoundTrip checks that the fields that the feed tree needs survive the round trip, and that a request of
-// an earlier release, which lacks them, is still parsed.
+// TestWatchRequestRoundTrip checks that the fields that the feed tree needs survive the round trip, and that a request
+// of an earlier release, which lacks them, is still parsed.
 func TestWatchRequestRoundTrip(t *testing.T) {
 	want := WatchRequest{Node: "n", Life: "a-1", Version: 2, Wait: time.Second, Address: "10.0.0.1:7", Hall: "h", Strength: 0.25, Feeder: true, Orphan: true}
 	got, err := parseWatchRequest(want.values())
