--- a/io/boottime/clock.go
+++ b/io/boottime/clock.go
@@ -10,16 +10,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// minSuspend is the smallest drift between the two clocks that counts as a suspend. Two readings are microseconds apart,
-// and a shorter suspend has no effect on timers that matter.
+// minSuspend is the smallest drift between the two clocks that counts as a suspend. Two readings are microseconds
+// apart, and a shorter suspend has no effect on timers that matter.
 const minSuspend = 5 * time.Millisecond
 
 // source reads the two clocks that are compared.
 type source interface {
-	// boot returns the time since the machine started, including suspends; awake returns a time that stands still
-	// during suspends.
+	// boot returns the time since the machine started, including suspends; monotonic returns a time that does not
+	// advance during suspends.
 	boot() time.Duration
-	awake() time.Duration
+	monotonic() time.Duration
 }
 
 // kernel reads the clocks of the machine: CLOCK_BOOTTIME, and Go's monotonic clock since start.
@@ -32,7 +32,7 @@
 	return time.Duration(ts.Nano())
 }
 
-func (k kernel) awake() time.Duration { return time.Since(k.start) }
+func (k kernel) monotonic() time.Duration { return time.Since(k.start) }
 
 // Clock implements clockwork.Clock and includes the time for which the machine was suspended. It is safe for concurrent
 // use.
@@ -40,14 +40,14 @@
 	from source
 	// base is the time of day at the creation of the clock, without a monotonic reading.
 	base time.Time
-	// boot0 and awake0 are the readings of the source at the creation of the clock.
-	boot0, awake0 time.Duration
-	// slept is the total time in suspend that has been detected so far, in nanoseconds.
-	slept atomic.Int64
+	// boot0 and monotonic0 are the readings of the source at the creation of the clock.
+	boot0, monotonic0 time.Duration
+	// suspended is the total time in suspend that has been detected so far, in nanoseconds.
+	suspended atomic.Int64
 
 	mu     sync.Mutex
 	timers map[*timer]bool
-	hooks  []func(slept time.Duration)
+	hooks  []func(suspended time.Duration)
 }
 
 // New returns a clock, or an error if the kernel does not support CLOCK_BOOTTIME.
@@ -62,24 +62,24 @@
 func newClock(from source) *Clock {
 	c := &Clock{from: from, base: time.Now().Round(0), timers: make(map[*timer]bool)}
 	// In this order, a suspend between the two readings makes the drift smaller, never larger.
-	c.awake0 = from.awake()
+	c.monotonic0 = from.monotonic()
 	c.boot0 = from.boot()
 	return c
 }
 
 // OnWake registers a function that is called in its own goroutine after each detected suspend, with its duration.
-func (c *Clock) OnWake(f func(slept time.Duration)) {
+func (c *Clock) OnWake(f func(suspended time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hooks = append(c.hooks, f)
 }
 
-// Now returns the time of day at the creation of the clock plus the time since then, including suspends. It also detects
-// a suspend since the last reading.
+// Now returns the time of day at the creation of the clock plus the time since then, including suspends. It also
+// detects a suspend since the last reading.
 func (c *Clock) Now() time.Time {
 	boot := c.from.boot() - c.boot0
-	awake := c.from.awake() - c.awake0
-	if drift := boot - awake; drift-time.Duration(c.slept.Load()) >= minSuspend {
+	monotonic := c.from.monotonic() - c.monotonic0
+	if drift := boot - monotonic; drift-time.Duration(c.suspended.Load()) >= minSuspend {
 		c.onResume(drift)
 	}
 	return c.base.Add(boot)
@@ -89,12 +89,12 @@
 // done so.
 func (c *Clock) onResume(drift time.Duration) {
 	c.mu.Lock()
-	before := time.Duration(c.slept.Load())
+	before := time.Duration(c.suspended.Load())
 	if drift-before < minSuspend {
 		c.mu.Unlock()
 		return
 	}
-	c.slept.Store(int64(drift))
+	c.suspended.Store(int64(drift))
 	now := c.base.Add(c.from.boot() - c.boot0)
 	for t := range c.timers {
 		t.rearm(now)
@@ -159,11 +159,11 @@
 	now := t.clock.Now()
 	t.clock.mu.Lock()
 	defer t.clock.mu.Unlock()
-	was := t.clock.timers[t]
+	running := t.clock.timers[t]
 	t.due = now.Add(d)
 	t.clock.timers[t] = true
 	t.rearm(now)
-	return was
+	return running
 }
 
 // rearm sets the runtime's timer to fire when t is due. The caller must hold the clock's mutex.
@@ -216,7 +216,7 @@
 // Stop stops the timer, discards an unreceived time, and reports whether the timer was running.
 func (t *timer) Stop() bool {
 	t.clock.mu.Lock()
-	was := t.clock.timers[t]
+	running := t.clock.timers[t]
 	delete(t.clock.timers, t)
 	t.round++
 	if t.runtimeTimer != nil {
@@ -224,7 +224,7 @@
 	}
 	t.clock.mu.Unlock()
 	t.drain()
-	return was
+	return running
 }
 
 // drain discards an unreceived time, as Stop and Reset of the runtime's timers do.
--- a/io/boottime/clock_test.go
+++ b/io/boottime/clock_test.go
@@ -11,10 +11,10 @@
 
 var _ clockwork.Clock = (*Clock)(nil)
 
-// fakeSource is a source whose clocks advance only by calls of pass and sleep.
+// fakeSource is a source whose clocks advance only by calls of advance and suspend.
 type fakeSource struct {
-	mu             sync.Mutex
-	bootAt, awakeT time.Duration
+	mu                  sync.Mutex
+	bootAt, monotonicAt time.Duration
 }
 
 func (s *fakeSource) boot() time.Duration {
@@ -23,21 +23,21 @@
 	return s.bootAt
 }
 
-func (s *fakeSource) awake() time.Duration {
+func (s *fakeSource) monotonic() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.awakeT
+	return s.monotonicAt
 }
 
-// pass advances both clocks.
-func (s *fakeSource) pass(d time.Duration) {
+// advance advances both clocks.
+func (s *fakeSource) advance(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bootAt, s.awakeT = s.bootAt+d, s.awakeT+d
+	s.bootAt, s.monotonicAt = s.bootAt+d, s.monotonicAt+d
 }
 
-// sleep simulates a suspend: only the boot clock advances.
-func (s *fakeSource) sleep(d time.Duration) {
+// suspend simulates a suspend of the machine: only the boot clock advances.
+func (s *fakeSource) suspend(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.bootAt += d
@@ -47,23 +47,23 @@
 func TestClockIncludesSuspend(t *testing.T) {
 	s := &fakeSource{bootAt: 100 * time.Hour}
 	c := newClock(s)
-	slept := make(chan time.Duration, 9)
-	c.OnWake(func(d time.Duration) { slept <- d })
+	suspends := make(chan time.Duration, 9)
+	c.OnWake(func(d time.Duration) { suspends <- d })
 	start := c.Now()
-	s.pass(time.Second)
-	s.sleep(7 * time.Second)
+	s.advance(time.Second)
+	s.suspend(7 * time.Second)
 	got := []time.Duration{c.Since(start), c.Since(start), -c.Until(start)}
-	s.pass(time.Second)
+	s.advance(time.Second)
 	got = append(got, c.Since(start))
 	want := []time.Duration{8 * time.Second, 8 * time.Second, 8 * time.Second, 9 * time.Second}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("elapsed times (-want +got):\n%s", diff)
 	}
-	if d := <-slept; d != 7*time.Second {
+	if d := <-suspends; d != 7*time.Second {
 		t.Errorf("hook called for a suspend of %v, want 7s", d)
 	}
-	if len(slept) > 0 {
-		t.Errorf("hook called again, for %v", <-slept)
+	if len(suspends) > 0 {
+		t.Errorf("hook called again, for %v", <-suspends)
 	}
 }
 
@@ -78,7 +78,7 @@
 	c.AfterFunc(3*time.Hour, func() { called <- "later" })
 	tick := c.NewTicker(time.Hour)
 	stopped.Stop()
-	s.sleep(2*time.Hour + time.Minute)
+	s.suspend(2*time.Hour + time.Minute)
 	now := c.Now()
 	if at := <-due.Chan(); at.Before(now) {
 		t.Errorf("timer fired with time %v, before the resume at %v", at, now)
@@ -91,7 +91,7 @@
 		t.Error("Stop reported the wrong state of a timer")
 	}
 	// Two ticks were missed and are skipped; the next one is due in 59 minutes.
-	s.sleep(time.Hour)
+	s.suspend(time.Hour)
 	c.Now()
 	<-tick.Chan()
 	if got := <-called; got != "later" {
--- a/io/boottime/use_test.go
+++ b/io/boottime/use_test.go
@@ -11,7 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// otherClocks matches calls that read or wait on a clock that stands still during a suspend or is set by hand.
+// otherClocks matches calls that read or wait on a clock that does not advance during a suspend or that follows
+// changes of the time of day.
 var otherClocks = regexp.MustCompile(`\btime\.(Now|Since|Until|After|AfterFunc|NewTimer|NewTicker|Tick|Sleep)\(|clockwork\.(With(Deadline|Timeout)|NewRealClock)\(`)
 
 // allowedFiles lists the files that may use other clocks, with the reason.
--- a/io/engine/engine.go
+++ b/io/engine/engine.go
@@ -1,9 +1,9 @@
 // Package engine sends load and unload orders to model engines and reads their status.
 //
-// An engine may refuse an order for its fence, may fail, may take longer than the caller waits, or may have executed the
-// order although no answer arrived. [Client.Load] and [Client.Unload] return nil once the engine has confirmed the
-// effect, and otherwise one of four errors that state what the caller may conclude. Package internal/control uses the
-// client.
+// An engine may refuse an order because of its fence, may fail, may take longer than the caller waits, or may have
+// executed the order although no answer arrived. [Client.Load] and [Client.Unload] return nil once the engine has
+// confirmed the effect, and otherwise one of four errors that state what the caller may conclude. Package
+// internal/control uses the client.
 //
 // The protocol: GET /engine/status returns a [Status]. POST /engine/load and /engine/unload with an [Order] as JSON
 // answer 204 once the order has taken effect, 409 with "staleFence" or "wrongIncarnation" if the order was refused,
@@ -47,7 +47,7 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Unit is the state of one unit in an engine's status. Phase tells whether it is loading, loaded or unloading.
+// Unit is the state of one unit in an engine's status. Phase is whether it is loading, loaded or unloading.
 type Unit struct {
 	Unit    string `json:"unit"`
 	Version string `json:"version"`
--- a/io/instancelist/instancelist.go
+++ b/io/instancelist/instancelist.go
@@ -78,12 +78,12 @@
 		State string `json:"state"`
 	}{StateDraining})
 	if err != nil {
-		return eris.Wrap(err, "say leaving")
+		return eris.Wrap(err, "announce draining")
 	}
 	u := "http://" + c.address + "/instances/" + url.PathEscape(id) + "/state"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, u, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "say leaving")
+		return eris.Wrap(err, "announce draining")
 	}
 	return c.do(req, nil)
 }
--- a/io/logservice/appender.go
+++ b/io/logservice/appender.go
@@ -32,7 +32,7 @@
 // Appender appends a node's records to a stream of the log, in batches. It is safe for concurrent use.
 //
 // Invariant: a record is sent to the log only after every record with a lower sequence number is confirmed. That is
-// why the fold, which applies the log's records, can recognize a repeated record by its sequence number alone.
+// why the replicated state machine (core/ledger) can recognize a repeated record by its sequence number alone.
 type Appender struct {
 	node        string
 	incarnation uint64
@@ -154,7 +154,7 @@
 		// This program builds all records, so one that cannot be encoded is a bug. Panic rather than lose it.
 		panic(err)
 	}
-	retry := minBackoff
+	backoff := minBackoff
 	for {
 		actx, cancel := context.WithTimeout(ctx, appendTimeout)
 		offset, err := a.client.Append(actx, data)
@@ -166,8 +166,8 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-a.clock.After(retry/2 + rand.N(retry)):
+		case <-a.clock.After(backoff/2 + rand.N(backoff)):
 		}
-		retry = min(2*retry, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
--- a/io/node/client.go
+++ b/io/node/client.go
@@ -48,7 +48,8 @@
 	t.WireReceived.Add(int64(st.BytesReceived))
 }
 
-// Wire returns the bytes of all connections that this node opened, both open and closed, including the overhead of QUIC.
+// Wire returns the bytes of all connections that this node opened, both open and closed, including the overhead of
+// QUIC.
 func (c *Client) Wire() (sent, received int64) {
 	sent, received = c.Traffic.WireSent.Load(), c.Traffic.WireReceived.Load()
 	c.mu.Lock()
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -56,9 +56,9 @@
 	tests := []struct {
 		name      string
 		authority fleetkeys.Pair
-		// certificate is the node name in the certificate, and speaks the one in the request.
-		certificate, speaks string
-		ok                  bool
+		// certificate is the node name in the certificate, and requestName the one in the request.
+		certificate, requestName string
+		ok                       bool
 	}{
 		{"a member", ours, "b", "b", true},
 		{"a stranger", theirs, "b", "b", false},
@@ -69,7 +69,7 @@
 			cfg := memberTLS(t, tc.authority, tc.certificate)
 			// The client accepts any server, so that the refusal can only come from the server.
 			cfg.InsecureSkipVerify = true
-			c := NewClient(ledger.NodeRef{Node: tc.speaks, Incarnation: 1}, cfg)
+			c := NewClient(ledger.NodeRef{Node: tc.requestName, Incarnation: 1}, cfg)
 			defer c.Close()
 			resp, err := c.Call(ctx, "a", srv.Address(), &pb.PeerRequest{Body: &pb.PeerRequest_Ping{Ping: &pb.Ping{}}})
 			if !tc.ok {
