--- a/cmd/olivetiller/client.go
+++ b/cmd/olivetiller/client.go
@@ -14,7 +14,7 @@
 	"olivetiller/proto/olivetiller/v1/olivetillerv1connect"
 )
 
-// nodeFlags select the node that a command calls, and the credentials for it.
+// nodeFlags selects the node that a command calls, and the credentials for it.
 type nodeFlags struct {
 	Address string `required:"" env:"OLIVETILLER_ADDRESS" help:"IP address and port of the node's operator API."`
 	Token   string `env:"OLIVETILLER_TOKEN" help:"The operator's bearer token. Prefer the environment variable, because arguments are visible to other users of the machine."`
--- a/cmd/olivetiller/demo.go
+++ b/cmd/olivetiller/demo.go
@@ -20,12 +20,12 @@
 func (c *demoCmd) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	broken, err := demo.Run(ctx, os.Stdout, demo.Options{Seed: c.Seed, Verbose: c.Verbose})
+	violations, err := demo.Run(ctx, os.Stdout, demo.Options{Seed: c.Seed, Verbose: c.Verbose})
 	if err != nil {
 		return err
 	}
-	if len(broken) > 0 {
-		return errors.New("demo: guarantee violated: " + broken[0])
+	if len(violations) > 0 {
+		return errors.New("demo: guarantee violated: " + violations[0])
 	}
 	return nil
 }
--- a/cmd/olivetiller/exit.go
+++ b/cmd/olivetiller/exit.go
@@ -11,7 +11,7 @@
 
 // Exit codes of the command; the package comment documents them.
 const (
-	exitBad         = 1
+	exitNegative    = 1
 	exitUsage       = 2
 	exitUnreachable = 3
 )
@@ -35,5 +35,5 @@
 	case connect.CodeUnauthenticated, connect.CodePermissionDenied:
 		return exitUsage
 	}
-	return exitBad
+	return exitNegative
 }
--- a/cmd/olivetiller/hosted.go
+++ b/cmd/olivetiller/hosted.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// memoryShare is the fraction of the machine's memory from which garbage collection runs more often, to stay below it.
+	// memoryShare is the fraction of the machine's memory that is set as the runtime's soft memory limit; near it,
+	// garbage collection runs more often.
 	memoryShare = 0.6
 	// gcPercent is the heap growth between two garbage collections, in percent. 50 keeps a node that knows 10,000
 	// endpoints below 32 MB.
@@ -26,7 +27,7 @@
 
 // runHosted runs a node on the hosting platform until SIGTERM or SIGINT starts its planned stop.
 func runHosted() error {
-	// Must come first: the default action of SIGHUP ends the process.
+	// Must come first: the default action of SIGHUP terminates the process.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	s, err := platform.ReadSettings()
@@ -81,8 +82,8 @@
 	return c
 }
 
-// reload checks the settings file again and logs the result. The addresses cannot change while the process runs, and all
-// other settings are fixed for a deployment, so new values only apply from the next start.
+// reload checks the settings file again and logs the result. The addresses cannot change while the process runs, and
+// all other settings are fixed for a deployment, so new values only apply from the next start.
 func reload(logger hclog.Logger) {
 	if _, err := platform.ReadSettings(); err != nil {
 		logger.Error("settings are invalid; the previous ones stay in force", "error", err.Error())
--- a/cmd/olivetiller/main_test.go
+++ b/cmd/olivetiller/main_test.go
@@ -22,8 +22,8 @@
 	testscript.Main(m, map[string]func(){"olivetiller": main, "standin": standin})
 }
 
-// standin runs stand-ins of a small deployment's platform at the addresses in the environment, with the nodes a and b in
-// its instance list.
+// standin runs stand-ins of a small deployment's platform at the addresses in the environment, with the nodes a and b
+// in its instance list.
 func standin() {
 	shape := site.Krautwerk()
 	shape.Engines, shape.OtherEngines, shape.ListLag = 3, 0, 100*time.Millisecond
--- a/cmd/olivetiller/node.go
+++ b/cmd/olivetiller/node.go
@@ -27,7 +27,7 @@
 		"With --platform, SIGHUP checks the settings file again; changes apply from the next start."
 }
 
-var errCutOff = eris.New("the stop was aborted; requests in progress were cut off")
+var errStopAborted = eris.New("the stop was aborted; requests in progress were cut off")
 
 // Run runs the node until it has stopped.
 func (c *nodeCmd) Run() error {
@@ -58,11 +58,11 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			return eris.Wrap(errCutOff, err.Error())
+			return eris.Wrap(errStopAborted, err.Error())
 		}
 		return nil
 	case <-signals:
 		n.Kill()
-		return errCutOff
+		return errStopAborted
 	}
 }
--- a/cmd/olivetiller/quarantine.go
+++ b/cmd/olivetiller/quarantine.go
@@ -22,7 +22,7 @@
 	Release quarantineReleaseCmd `cmd:"" help:"Allow a quarantined request on engines again, at all nodes."`
 }
 
-// metricsFlags select the node to call by its metrics address.
+// metricsFlags selects the node to call by its metrics address.
 type metricsFlags struct {
 	Address string `required:"" placeholder:"HOST:PORT" help:"Metrics address of the node."`
 }
@@ -30,8 +30,8 @@
 // maxAnswerBytes bounds a node's answer; the rest is cut off.
 const maxAnswerBytes = 16 << 20
 
-// ask calls the node's metrics address and returns the body of the answer.
-func (f *metricsFlags) ask(method, path string) ([]byte, error) {
+// call calls the node's metrics address and returns the body of the answer.
+func (f *metricsFlags) call(method, path string) ([]byte, error) {
 	u := url.URL{Scheme: "http", Host: f.Address, Path: path}
 	ctx, cancel := callContext()
 	defer cancel()
@@ -61,7 +61,7 @@
 
 // Run prints the list, as a table unless JSON is requested.
 func (c *quarantineListCmd) Run() error {
-	raw, err := c.ask(http.MethodGet, hosted.PathQuarantine)
+	raw, err := c.call(http.MethodGet, hosted.PathQuarantine)
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 
 // Run releases the request.
 func (c *quarantineReleaseCmd) Run() error {
-	if _, err := c.ask(http.MethodDelete, hosted.PathQuarantine+"/"+c.Request); err != nil {
+	if _, err := c.call(http.MethodDelete, hosted.PathQuarantine+"/"+c.Request); err != nil {
 		return err
 	}
 	fmt.Println("released")
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,5 @@
-// Package client is a caller for the demo, the benchmarks and tests. It checks every token of an answer by the rule with
-// which stand-in engines produce tokens: from the model, the prompt and the token's position.
+// Package client is a caller for the demo, the benchmarks and tests. It checks every token of an answer against the one
+// that a stand-in engine computes from the model, the prompt and the token's position.
 package client
 
 import (
@@ -99,7 +99,7 @@
 	case a.Stream:
 		r.readStream(resp.Body, a, start)
 	default:
-		r.readWhole(resp.Body, a)
+		r.readComplete(resp.Body, a)
 	}
 	r.Took = time.Since(start)
 	return r
@@ -208,7 +208,7 @@
 	r.Tokens++
 }
 
-func (r *Result) readWhole(body io.Reader, a Completion) {
+func (r *Result) readComplete(body io.Reader, a Completion) {
 	r.Body, r.Err = io.ReadAll(body)
 	if r.Err != nil {
 		return
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -223,8 +223,8 @@
 	return mux
 }
 
-// PeerTraffic counts the requests of this node to its peers and their answers, on connections that this node opened. The
-// wire bytes include the overhead of QUIC.
+// PeerTraffic counts the requests of this node to its peers and their answers, on connections that this node opened.
+// The wire bytes include the overhead of QUIC.
 type PeerTraffic struct {
 	Messages     int64 `json:"messages"`
 	Sent         int64 `json:"sentBytes"`
--- a/internal/fleet/failure_test.go
+++ b/internal/fleet/failure_test.go
@@ -80,10 +80,10 @@
 	}
 }
 
-// TestStreamMovesWhenItsEngineDies restarts the engine in the middle of a stream.
+// TestStreamResumesAfterEngineCrash restarts the engine in the middle of a stream.
 // The caller must get every token once and in order: the stream is resumed on
 // another replica.
-func TestStreamMovesWhenItsEngineDies(t *testing.T) {
+func TestStreamResumesAfterEngineCrash(t *testing.T) {
 	ctx := testContext(t)
 	f := startFleet(ctx, t, 2, func(s *site.Shape) { s.BetweenTokens = 5 * time.Millisecond })
 	requireCompletion(ctx, t, f, "n0", 1, 3)
@@ -145,18 +145,18 @@
 	f := startFleet(ctx, t, 3, nil)
 	requireCompletion(ctx, t, f, "n0", 2, 3)
 	name := site.ModelName(2)
-	var left string
+	var leaving string
 	for _, e := range f.Site.Engines {
 		if e.Holds(name, "v1") {
 			e.SetLeaving(true)
-			left = e.Instance
+			leaving = e.Instance
 		}
 	}
 	for _, n := range f.Nodes() {
 		for ctx.Err() == nil {
 			free := true
 			for _, ep := range n.Control.View().Endpoints[name] {
-				free = free && ep.Name != left
+				free = free && ep.Name != leaving
 			}
 			if free {
 				break
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet runs all nodes of a deployment in one process, against the test
 // doubles of the platform, engines and services in package site. The demo, the
-// benchmarks and tests use it. The nodes communicate over TCP on the loopback
-// interface, as separate processes do.
+// benchmarks and tests use it. The nodes communicate over the loopback interface,
+// as separate processes do.
 package fleet
 
 import (
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -13,11 +13,11 @@
 	"olivetiller/standin/site"
 )
 
-// TestColdRequestCrossesEverything sends one request for a model that is not loaded
+// TestColdRequestEndToEnd sends one request for a model that is not loaded
 // and expects the complete answer: the load is decided on the log, the weights come
 // from the weight store, and the answer is streamed back. The model must be loaded
 // exactly once.
-func TestColdRequestCrossesEverything(t *testing.T) {
+func TestColdRequestEndToEnd(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	shape := site.Krautwerk()
@@ -41,10 +41,10 @@
 	if _, err := fleet.Publish(ctx, n, shape.Config()); err != nil {
 		t.Fatal(err)
 	}
-	ask := client.Completion{Model: site.ModelName(0), Prompt: "read the label", Tokens: 12, Stream: true, Timeout: 30 * time.Second}
-	r := client.New("curator").Complete(ctx, n.CallerAddress(), ask)
+	completion := client.Completion{Model: site.ModelName(0), Prompt: "read the label", Tokens: 12, Stream: true, Timeout: 30 * time.Second}
+	r := client.New("curator").Complete(ctx, n.CallerAddress(), completion)
 	if !r.Whole {
-		t.Fatalf("answer: %+v", r)
+		t.Fatalf("incomplete answer: %+v", r)
 	}
 	if got := s.Loads(); got != 1 {
 		t.Errorf("loads = %d, want 1", got)
--- a/internal/fleetkeys/fleetkeys.go
+++ b/internal/fleetkeys/fleetkeys.go
@@ -1,10 +1,10 @@
 // Package fleetkeys creates and reads the certificates by which the nodes of a fleet authenticate each other.
 //
 // Each fleet has its own certificate authority, and each node a certificate signed by it that carries the node's name.
-// Both sides of a connection between nodes present a certificate, so a process outside the fleet gets no connection, and
-// a node cannot use another node's name. Keys are ECDSA P-256. A node's certificate is valid for [NodeValidity] and is
-// renewed by creating a new one and replacing the node. Command olivetiller keys creates the files; package entry reads
-// them.
+// Both sides of a connection between nodes present a certificate, so a process outside the fleet gets no connection,
+// and a node cannot use another node's name. Keys are ECDSA P-256. A node's certificate is valid for [NodeValidity] and
+// is renewed by creating a new one and replacing the node. Command olivetiller keys creates the files; package entry
+// reads them.
 package fleetkeys
 
 import (
--- a/internal/hosted/hosted.go
+++ b/internal/hosted/hosted.go
@@ -1,8 +1,8 @@
 // Package hosted assembles a node that runs on the hosting platform.
 //
-// It joins the request path that package entry also uses (io/caller, internal/traffic, io/endpoint) with the control side
-// for a platform that stores durable state for its programs (internal/placer). Everything that depends on the platform
-// is passed in as [Platform]. Command olivetiller calls [Start] for a node with --platform.
+// It joins the request path that package entry also uses (io/caller, internal/traffic, io/endpoint) with the control
+// plane for a platform that stores durable state for its programs (internal/placer). Everything that depends on the
+// platform is passed in as [Platform]. Command olivetiller calls [Start] for a node with --platform.
 package hosted
 
 import (
@@ -43,15 +43,15 @@
 	// CallerAddress serves callers, ReadyAddress the health checks of the load balancer, PeerAddress other nodes, and
 	// MetricsAddress metrics and quarantine requests of operators; an empty MetricsAddress disables these.
 	CallerAddress, ReadyAddress, PeerAddress, MetricsAddress string
-	// StopTimeout is the time from a stop signal to the platform's end of the process.
+	// StopTimeout is the time from a stop signal until the platform kills the process.
 	StopTimeout time.Duration
 	// Retries bound the retries of all nodes together.
 	Retries retry.Limits
 	Loads   placement.Limits
 	// Cores is the processor capacity of the machine, in cores; LinkMbps is its link capacity, in Mbit/s.
 	Cores, LinkMbps float64
-	// ReactionBound is the shortest time within which the platform requires that a changed configuration or a draining endpoint
-	// takes effect; 0 if it states none.
+	// ReactionBound is the shortest time within which the platform requires that a changed configuration or a draining
+	// endpoint takes effect; 0 if it states none.
 	ReactionBound time.Duration
 	// Fenced is true if engines reject orders with an outdated fence.
 	Fenced bool
@@ -110,9 +110,9 @@
 	// balancerLag is how long the load balancer may still send requests after the node turned unready: it probes every
 	// second and removes a node after two failures.
 	balancerLag = 2500 * time.Millisecond
-	// These are the times left of StopTimeout at the steps of a stop: at waitReserve, requests that still wait for a
-	// slot are refused, so that callers retry at another node; at cutReserve, requests in progress are aborted; at
-	// stopReserve, the node no longer waits for them to end.
+	// stopReserve, cutReserve and waitReserve are the times left of StopTimeout at the steps of a stop: at waitReserve,
+	// requests that still wait for a slot are refused, so that callers retry at another node; at cutReserve, requests
+	// in progress are aborted; at stopReserve, the node no longer waits for them to end.
 	stopReserve = 300 * time.Millisecond
 	cutReserve  = 600 * time.Millisecond
 	waitReserve = 1500 * time.Millisecond
@@ -138,7 +138,7 @@
 
 // Waker is a clock that reports when the machine resumes after a suspend.
 type Waker interface {
-	OnWake(f func(slept time.Duration))
+	OnWake(f func(suspended time.Duration))
 }
 
 // idleCloser is a client with a pool of idle connections.
@@ -146,8 +146,8 @@
 
 // onResume handles the resume of the machine. Ages of known state need no correction, because the clock includes the
 // time of the suspend; but the peers of idle connections may have closed them.
-func (n *Node) onResume(slept time.Duration) {
-	n.logger.Warn("machine resumed after a suspend", "sleptMs", slept.Milliseconds())
+func (n *Node) onResume(suspended time.Duration) {
+	n.logger.Warn("machine resumed after a suspend", "sleptMs", suspended.Milliseconds())
 	for _, i := range n.idleClosers {
 		i.CloseIdleConnections()
 	}
@@ -236,17 +236,18 @@
 	}
 }
 
-// runLocks acquires run locks through the node's control side, which is created after the isolation guard that uses it.
+// runLocks acquires run locks through the node's control plane, which is created after the isolation guard that uses
+// them.
 type runLocks struct{ n *Node }
 
-// TakeTurn implements isolation.RunLocker.
+// AcquireRun implements isolation.RunLocker.
 func (t runLocks) AcquireRun(ctx context.Context, f quarantine.Fingerprint, run string) time.Duration {
 	return t.n.control.AcquireRun(ctx, f, run)
 }
 
-// ReleaseTurn implements isolation.RunLocker.
-func (t runLocks) ReleaseRun(f quarantine.Fingerprint, run string, well bool) {
-	t.n.control.ReleaseRun(f, run, well)
+// ReleaseRun implements isolation.RunLocker.
+func (t runLocks) ReleaseRun(f quarantine.Fingerprint, run string, answered bool) {
+	t.n.control.ReleaseRun(f, run, answered)
 }
 
 // weakDelay is the extra delay before the weakest machine takes over the lease, compared with a machine of at least one
@@ -308,12 +309,12 @@
 	return mux
 }
 
-// HoldsLease reports whether this node holds the lease and so gives orders to the engines.
+// HoldsLease reports whether this node holds the lease and therefore sends the orders to engines.
 func (n *Node) HoldsLease() bool { return n.control.HoldsLease() }
 
-// Stop performs the planned stop: it turns the node unready for the balancer, releases the lease, accepts requests while
-// the balancer may still send them, and finishes all accepted requests as far as StopTimeout allows. It returns an
-// error if it had to abort requests.
+// Stop performs the planned stop: it turns the node unready for the balancer, releases the lease, accepts requests
+// while the balancer may still send them, and finishes all accepted requests as far as StopTimeout allows. It returns
+// an error if it had to abort requests.
 func (n *Node) Stop() error {
 	start := n.clock.Now()
 	ctx, cancel := boottime.WithTimeout(context.Background(), n.clock, n.s.StopTimeout-cutReserve)
--- a/internal/hosted/quarantine.go
+++ b/internal/hosted/quarantine.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// suspects returns all requests with evidence against them, by falling probability of crashing engines.
+// suspects returns all requests with evidence against them, by decreasing probability of crashing engines.
 func (n *Node) suspects() []Suspect {
 	now := n.clock.Now()
 	out := []Suspect{}
@@ -76,10 +76,10 @@
 
 // findSuspect returns the only request whose fingerprint starts with a prefix. It finds none for an empty or ambiguous
 // prefix.
-func (n *Node) findSuspect(begin string) (f quarantine.Fingerprint, found bool) {
+func (n *Node) findSuspect(prefix string) (f quarantine.Fingerprint, found bool) {
 	for _, s := range n.isolation.List() {
 		text, err := s.Request.MarshalText()
-		if err != nil || begin == "" || !strings.HasPrefix(string(text), begin) {
+		if err != nil || prefix == "" || !strings.HasPrefix(string(text), prefix) {
 			continue
 		}
 		if found {
--- a/internal/inbox/inbox.go
+++ b/internal/inbox/inbox.go
@@ -2,8 +2,8 @@
 //
 // Readers, peers and timers run on their own goroutines, but only the owner may change the state. They send messages
 // to an [Inbox]; the owner handles one, then all others that wait ([Inbox.Drain]), and only then acts, so that one
-// step covers all of them. A sender blocks while the inbox is full, until its context or the owner ends. Package
-// internal/placer uses it for its controller.
+// step covers all of them. A sender blocks while the inbox is full, until its context or the owner ends. Packages
+// internal/placer and internal/control use it for their controllers.
 package inbox
 
 import "context"
--- a/internal/inbox/inbox_test.go
+++ b/internal/inbox/inbox_test.go
@@ -7,7 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestInbox checks the order of messages, and that Send on a full inbox returns when its context or the owner has ended.
+// TestInbox checks the order of messages, and that Send on a full inbox returns when its context or the owner has
+// ended.
 func TestInbox(t *testing.T) {
 	b := New[int](2)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -152,7 +152,8 @@
 }
 
 // fetchFromOwner returns the answer from the owner of the claim. If the owner does
-// not answer, it returns a refusal that states what the claim tells about the run.
+// not answer, it returns a refusal that states what the claim's phase shows about
+// the run.
 func (c *Coordinator) fetchFromOwner(ctx context.Context, r *onceRun, claim *ledger.Claim, deadline time.Time) (*Answer, error) {
 	for {
 		left := deadline.Sub(c.clock.Now())
