--- a/cmd/olivebench/quarantine.go
+++ b/cmd/olivebench/quarantine.go
@@ -32,19 +32,19 @@
 
 // Run implements the command.
 func (c *quarantineCmd) Run() error {
-	with, without := c.play(false), c.play(true)
+	with, without := c.simulate(false), c.simulate(true)
 	if c.JSON {
 		return printResult(map[string][]quarantinelab.Result{"with": with, "without": without}, nil)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "QUARANTINE\tENDS P50\tP90\tMOST\tUNTIL VERDICT P50\tP90\tMOST\tLATE MOST\tPROPER\tSERVED\tREFUSED\tEVERYWHERE P50\tMOST\tBYTES/NODE/S")
-	c.row(w, "with", with)
-	c.row(w, "without", without)
+	c.printRow(w, "with", with)
+	c.printRow(w, "without", without)
 	return w.Flush()
 }
 
-// play runs the simulation once for each seed, with the quarantine or without it.
-func (c *quarantineCmd) play(off bool) []quarantinelab.Result {
+// simulate runs the simulation once for each seed, with the quarantine or without it.
+func (c *quarantineCmd) simulate(off bool) []quarantinelab.Result {
 	var out []quarantinelab.Result
 	for seed := range c.Seeds {
 		cfg := quarantinelab.Default
@@ -56,8 +56,8 @@
 	return out
 }
 
-// row prints a table row with the figures of all runs.
-func (c *quarantineCmd) row(w *tabwriter.Writer, name string, results []quarantinelab.Result) {
+// printRow prints a table row with the figures of all runs.
+func (c *quarantineCmd) printRow(w *tabwriter.Writer, name string, results []quarantinelab.Result) {
 	var ends, before, late []int
 	var everywhere []time.Duration
 	var sum quarantinelab.Result
--- a/internal/bench/fleetslopes.go
+++ b/internal/bench/fleetslopes.go
@@ -52,7 +52,7 @@
 	}, nil
 }
 
-// measureFleet starts n nodes, lets them settle, and measures them for as long again.
+// measureFleet starts n nodes, lets them settle for s.Settle, and then measures them for as long.
 func (s Slopes) measureFleet(ctx context.Context, n int) (fleetSample, error) {
 	before := heapInUse()
 	f, err := Setup{Deployment: "krautwerk", Nodes: n, Seed: 1, Verbose: s.Verbose}.start(ctx)
--- a/internal/bench/once.go
+++ b/internal/bench/once.go
@@ -83,11 +83,11 @@
 		injectFaults(ctx, f, o.Faults, rng)
 	}()
 	begin := time.Now()
-	outcomes := o.load(ctx, f, rng)
+	histories := o.load(ctx, f, rng)
 	took := time.Since(begin)
 	<-faultsDone
 	r.Appends = f.Site.Log.Appends(control.ControlStream) - before
-	o.check(f, r, outcomes)
+	o.check(f, r, histories)
 	r.ClaimsPerSecond = float64(r.Ran) / took.Seconds()
 	return r, nil
 }
@@ -97,15 +97,15 @@
 	nodes := f.Nodes()
 	c := client.New("clerk")
 	svc := f.Site.Shape.Services[0]
-	outcomes := make([]*keyHistory, o.Requests)
+	histories := make([]*keyHistory, o.Requests)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	start := time.Now()
 	for i := range o.Requests {
 		at := time.Duration(float64(i) / o.PerSecond * float64(time.Second))
 		sleep(ctx, time.Until(start.Add(at)))
-		oc := &keyHistory{key: uuid.Must(uuid.NewV7()).String(), body: []byte(fmt.Sprintf(`{"ticket":%d}`, i))}
-		outcomes[i] = oc
+		h := &keyHistory{key: uuid.Must(uuid.NewV7()).String(), body: []byte(fmt.Sprintf(`{"ticket":%d}`, i))}
+		histories[i] = h
 		first, second := rng.IntN(len(nodes)), rng.IntN(len(nodes))
 		gap := time.Duration(rng.IntN(200)) * time.Millisecond
 		for j, n := range []int{first, second} {
@@ -113,33 +113,33 @@
 			go func() {
 				defer wg.Done()
 				sleep(ctx, time.Duration(j)*gap)
-				res := c.Call(ctx, nodes[n].CallerAddress(), svc, "/new", o.Timeout, oc.key, oc.body)
+				res := c.Call(ctx, nodes[n].CallerAddress(), svc, "/new", o.Timeout, h.key, h.body)
 				mu.Lock()
 				defer mu.Unlock()
-				oc.results = append(oc.results, res)
+				h.results = append(h.results, res)
 			}()
 		}
 	}
 	wg.Wait()
-	return outcomes
+	return histories
 }
 
 // check compares every result with the records of the service.
-func (o Once) check(f *fleet.Fleet, r *OnceResult, outcomes []*keyHistory) {
+func (o Once) check(f *fleet.Fleet, r *OnceResult, histories []*keyHistory) {
 	svc := f.Site.Shape.Services[0]
 	var samples []time.Duration
-	for _, oc := range outcomes {
-		runs := f.Site.Runs(svc, oc.key)
+	for _, h := range histories {
+		runs := f.Site.Runs(svc, h.key)
 		r.MaxRuns = max(r.MaxRuns, runs)
 		if runs > 0 {
 			r.Ran++
 		}
 		if runs > 1 {
-			r.Violations = append(r.Violations, fmt.Sprintf("key %s ran %d times", oc.key, runs))
+			r.Violations = append(r.Violations, fmt.Sprintf("key %s ran %d times", h.key, runs))
 		}
-		for _, res := range oc.results {
+		for _, res := range h.results {
 			r.Sent++
-			samples = append(samples, o.checkResult(r, oc, res, runs)...)
+			samples = append(samples, o.checkResult(r, h, res, runs)...)
 		}
 	}
 	r.Answer = latencyOf(samples)
@@ -148,7 +148,7 @@
 
 // checkResult checks the result of one send of a key that ran the given number of times, and returns the
 // latency of a complete answer.
-func (o Once) checkResult(r *OnceResult, oc *keyHistory, res client.Result, runs int) []time.Duration {
+func (o Once) checkResult(r *OnceResult, h *keyHistory, res client.Result, runs int) []time.Duration {
 	switch {
 	case res.Refused():
 		r.Refused[res.Refusal.Title]++
@@ -157,17 +157,17 @@
 			// "Not run" refers to this send only: the other send of the same key may have run it.
 			// It is a violation only if the key ran although no send of it has a result that allows
 			// for a run.
-			if runs > 0 && !mayHaveRun(oc) {
-				r.Violations = append(r.Violations, fmt.Sprintf("%s was refused as not run (%s) and ran", oc.key, res.Refusal.Title))
+			if runs > 0 && !mayHaveRun(h) {
+				r.Violations = append(r.Violations, fmt.Sprintf("%s was refused as not run (%s) and ran", h.key, res.Refusal.Title))
 			}
 		}
 	case res.Whole:
 		r.Whole++
-		if string(res.Body) != service.Answer(oc.key, oc.body) {
-			r.Violations = append(r.Violations, "key "+oc.key+" got an answer that is not its own")
+		if string(res.Body) != service.Answer(h.key, h.body) {
+			r.Violations = append(r.Violations, "key "+h.key+" got an answer that is not its own")
 		}
 		if runs == 0 {
-			r.Violations = append(r.Violations, "key "+oc.key+" was answered and never ran")
+			r.Violations = append(r.Violations, "key "+h.key+" was answered and never ran")
 		}
 		return []time.Duration{res.Took}
 	default:
@@ -178,8 +178,8 @@
 
 // mayHaveRun reports whether any send of a key got an answer, a refusal that does not exclude a run, or an
 // error.
-func mayHaveRun(oc *keyHistory) bool {
-	for _, res := range oc.results {
+func mayHaveRun(h *keyHistory) bool {
+	for _, res := range h.results {
 		if res.Whole || (res.Refused() && !res.Refusal.NotRun) || res.Err != nil {
 			return true
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -49,7 +49,7 @@
 	// p50 and p99 are quantiles of coldStarts.
 	p50, p99            time.Duration
 	decided, loaded     int
-	sent, whole         int
+	sent, complete      int
 	refused             int
 	duplicateRuns, lost int
 	cutOff              int
@@ -177,7 +177,7 @@
 	r.sent++
 	switch {
 	case res.Whole:
-		r.whole++
+		r.complete++
 	case res.Refused():
 		r.refused++
 	default:
@@ -297,7 +297,7 @@
 	row("cold start p50", func(r *report) string { return ms(r.p50) })
 	row("cold start p99", func(r *report) string { return ms(r.p99) })
 	row("loads decided / done", func(r *report) string { return fmt.Sprintf("%d / %d", r.decided, r.loaded) })
-	row("answers complete / asked", func(r *report) string { return fmt.Sprintf("%d / %d", r.whole, r.sent) })
+	row("answers complete / asked", func(r *report) string { return fmt.Sprintf("%d / %d", r.complete, r.sent) })
 	row("refused with a reason", func(r *report) string { return fmt.Sprint(r.refused) })
 	row("once-only requests sent twice", func(r *report) string { return fmt.Sprint(r.onceSent / 2) })
 	row("doubles", func(r *report) string { return fmt.Sprint(r.duplicateRuns) })
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -23,8 +23,8 @@
 // comes sooner costs the caller no noticeable time.
 const minUnansweredWait = 100 * time.Millisecond
 
-// deadlineKind is the kind logged for requests refused because the forecast says that they cannot
-// meet their deadline.
+// deadlineKind is the kind logged for requests refused because by the forecast they cannot meet
+// their deadline.
 const deadlineKind = "cannotMakeDeadline"
 
 // Report holds the figures of the logs read.
--- a/internal/modelcheck/doc.go
+++ b/internal/modelcheck/doc.go
@@ -4,7 +4,7 @@
 // Its callers are the tests and the model command of olivebench.
 //
 //   - [Placement]: loading, takeover and unloading of replicas by executors that pause, are wrongly
-//     taken for dead, or whose orders arrive late; on an engine that rejects orders with a stale
+//     declared dead, or whose orders arrive late; on an engine that rejects orders with a stale
 //     fence, and on one that ignores fences.
 //   - [Claims]: claiming, releasing and repeating a once-only request, with appends that are
 //     duplicated after a lost answer and nodes that die.
--- a/internal/modelcheck/placement.go
+++ b/internal/modelcheck/placement.go
@@ -239,8 +239,8 @@
 	}
 }
 
-// proposals adds the loads and unloads that node i may propose and the orders that it may take up,
-// given the state s that it has applied.
+// proposals adds the loads, unloads and takeovers that node i may propose and the orders that it may
+// make pending, given the state s that it has applied.
 func (m *placementModel) proposals(w placementWorld, i int, s *ledger.State, add func(string, placementWorld)) {
 	e := s.Engines[modelEngine]
 	for _, u := range []byte(m.guards.Units) {
@@ -263,8 +263,8 @@
 	}
 }
 
-// orderSteps adds the step in which the executor of placement p takes its order up, or in which the other
-// node takes the placement over.
+// orderSteps adds the step in which node i, as the executor of placement p, makes the placement's
+// order pending, or in which it takes the placement over from the other node.
 func (m *placementModel) orderSteps(w placementWorld, i int, u byte, p *ledger.Placement, add func(string, placementWorld)) {
 	n := &w.nodes[i]
 	o := order{unit: u, fence: p.Fence, unload: p.Phase == ledger.Unloading}
--- a/internal/policylab/doc.go
+++ b/internal/policylab/doc.go
@@ -13,6 +13,6 @@
 // rate follows the hour of the day, a session is a burst of requests, and popularity follows Zipf's
 // law, with most units used seldom (as in "Serverless in the Wild", Shahrad et al., USENIX ATC
 // 2020, and the Azure Functions traces it describes). Nightly batches and narrow windows of use
-// come from the users' description of their deployments. The shapes are chosen, not fitted to a
-// recorded trace.
+// come from the users' description of their deployments. No recorded trace is replayed, and the
+// shapes are not fitted to one.
 package policylab
--- a/internal/policylab/plot.go
+++ b/internal/policylab/plot.go
@@ -11,7 +11,8 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// families are the series of the plot; a policy belongs to the one whose prefix begins its name.
+// families are the series of the plot; a policy belongs to the series with whose prefix its name
+// begins.
 var families = []struct {
 	prefix, label string
 	color         color.RGBA
--- a/internal/policylab/simulation.go
+++ b/internal/policylab/simulation.go
@@ -43,7 +43,7 @@
 	LogOutage bool
 }
 
-// DefaultPlatform returns the size of either deployment.
+// DefaultPlatform returns the platform that both workloads run on, without faults.
 func DefaultPlatform() Platform {
 	return Platform{
 		Engines: 12, EngineMemory: 80 * gib, Halls: 3, Concurrency: 8,
--- a/internal/quarantinelab/doc.go
+++ b/internal/quarantinelab/doc.go
@@ -7,7 +7,7 @@
 // messages are modelled: how long a run, a report and a push take, and which messages are lost.
 // Every decision about suspicions and verdicts is made by a registry and a tracker
 // (core/quarantine) for each node, as in a running node. One node, the lease holder, merges the
-// suspicions of all nodes; while there is none, the nodes exchange them with each other. Many
-// series of requests are needed to measure this, besides engines that crash for other reasons and
-// nodes that pause, are replaced or lose their lease holder.
+// suspicions of all nodes; while there is none, the nodes exchange them with each other. The figures
+// need many series of requests, and engines that crash for other reasons and nodes that pause, are
+// replaced or lose their lease holder at the same time.
 package quarantinelab
--- a/internal/quarantinelab/messages.go
+++ b/internal/quarantinelab/messages.go
@@ -154,7 +154,7 @@
 // recordVerdicts records for the figures when crashing requests are quarantined first, and when the
 // nodes that were running at that moment have received the verdict.
 func (s *simulation) recordVerdicts(n *node) {
-	for i, r := range s.deadly {
+	for i, r := range s.crashing {
 		if n.registry.State(r.fingerprint) != quarantine.Quarantined {
 			continue
 		}
--- a/internal/quarantinelab/simulation.go
+++ b/internal/quarantinelab/simulation.go
@@ -70,10 +70,10 @@
 // request is a request that callers may send several times.
 type request struct {
 	fingerprint quarantine.Fingerprint
-	// deadly is the index among the crashing requests, -1 for a harmless one.
-	deadly int
-	tries  int
-	// avoid lists the engines on which earlier attempts broke.
+	// crashingIndex is the index among the crashing requests, -1 for a harmless one.
+	crashingIndex int
+	tries         int
+	// avoid lists the engines that crashed during earlier attempts.
 	avoid []*engine
 }
 
@@ -101,8 +101,8 @@
 	// none.
 	holder *node
 	// stored holds the verdicts written to the store.
-	stored map[quarantine.Fingerprint]quarantine.Entry
-	deadly []*request
+	stored   map[quarantine.Fingerprint]quarantine.Entry
+	crashing []*request
 	// thirdCrashAt is when each crashing request crashed its third engine.
 	thirdCrashAt []time.Duration
 	// verdictAt is when each crashing request was quarantined first, and receivedBy the nodes that
@@ -178,7 +178,7 @@
 	s.arrive()
 	for i := range s.cfg.Deadly {
 		r := s.newRequest(i)
-		s.deadly = append(s.deadly, r)
+		s.crashing = append(s.crashing, r)
 		series := s.cfg.Duration / time.Duration(s.cfg.Deadly)
 		from, to := series*time.Duration(i)+2*time.Second, series*time.Duration(i+1)
 		s.after(from, func() { s.repeat(r, to) })
@@ -199,12 +199,12 @@
 	s.after(exchangeInterval, s.exchange)
 }
 
-// newRequest returns a request with a fingerprint of its own; deadly is its index among the crashing
+// newRequest returns a request with a fingerprint of its own; index is its index among the crashing
 // requests, or -1.
-func (s *simulation) newRequest(deadly int) *request {
+func (s *simulation) newRequest(index int) *request {
 	s.requestCount++
 	d := quarantine.DigestOf("POST", "h", fmt.Sprint("/", s.requestCount), nil)
-	return &request{fingerprint: quarantine.FingerprintOf("", d), deadly: deadly}
+	return &request{fingerprint: quarantine.FingerprintOf("", d), crashingIndex: index}
 }
 
 // arrive schedules the next harmless request.
@@ -233,8 +233,8 @@
 }
 
 // attempt handles attempt k of a try at a node, after the node resumes if it is paused. The node
-// waits while crashes that concern the request have yet to settle, and refuses the request if it is
-// quarantined.
+// waits until the crashes of which a doubtful request is suspected can be evaluated, and refuses the
+// request if it is quarantined.
 func (s *simulation) attempt(r *request, n *node, k int) {
 	if n.pausedUntil > s.now {
 		s.after(n.pausedUntil-s.now, func() { s.attempt(r, n, k) })
@@ -249,8 +249,8 @@
 		return
 	}
 	s.decide(n)
-	if _, held := n.registry.Blocked(r.fingerprint, s.time()); held {
-		if r.deadly < 0 {
+	if _, blocked := n.registry.Blocked(r.fingerprint, s.time()); blocked {
+		if r.crashingIndex < 0 {
 			s.result.Bystanders++
 		}
 		return
@@ -267,8 +267,8 @@
 		s.fail(r)
 		return
 	}
-	if r.deadly >= 0 && s.thirdCrashAt[r.deadly] > 0 && s.now > s.thirdCrashAt[r.deadly]+s.cfg.ContactTime && s.now-n.healthySince >= s.cfg.ContactTime {
-		s.result.Late[r.deadly]++
+	if r.crashingIndex >= 0 && s.thirdCrashAt[r.crashingIndex] > 0 && s.now > s.thirdCrashAt[r.crashingIndex]+s.cfg.ContactTime && s.now-n.healthySince >= s.cfg.ContactTime {
+		s.result.Late[r.crashingIndex]++
 	}
 	u := &run{r: r, n: n, e: e, attempt: k, suspect: suspect}
 	u.tracked = n.tracker.Send(r.fingerprint, quarantine.Incarnation{Engine: e.name(), Start: int64(e.incarnation + 1)}, s.time())
@@ -279,8 +279,9 @@
 	s.after(requestLatency+s.exponential(queueTime), func() { s.begin(u) })
 }
 
-// choose returns the running engine with the least work, nil if there is none. Engines on which the
-// request broke before come last, and suspected requests are kept apart from each other.
+// choose returns the running engine with the least work, nil if there is none. Engines that crashed
+// during earlier attempts of the request come last. A node spreads its suspected requests over
+// different engines and prefers other engines for its other requests.
 func (s *simulation) choose(r *request, n *node, suspect bool) *engine {
 	var best *engine
 	bestScore := 0
@@ -310,7 +311,7 @@
 		return
 	}
 	u.n.tracker.Begin(u.tracked, s.time())
-	if u.r.deadly >= 0 {
+	if u.r.crashingIndex >= 0 {
 		s.after(s.between(s.cfg.CrashDelay/2), func() {
 			if u.e.runs[u] {
 				s.crashUnder(u)
@@ -345,7 +346,7 @@
 
 // crashUnder crashes an engine that runs a crashing request.
 func (s *simulation) crashUnder(u *run) {
-	d := u.r.deadly
+	d := u.r.crashingIndex
 	s.result.Ends[d]++
 	if s.verdictAt[d] == 0 {
 		s.result.Before[d]++
@@ -366,7 +367,7 @@
 	}
 }
 
-// crash ends an engine with all its runs and schedules its restart.
+// crash crashes an engine, which breaks the connections of all its runs, and schedules its restart.
 func (s *simulation) crash(e *engine) {
 	e.up = false
 	runs := make([]*run, 0, len(e.runs))
@@ -416,14 +417,15 @@
 	s.report(n)
 }
 
-// scheduleDecision has a node decide once its latest crashes have settled.
+// scheduleDecision schedules decide on a node after quarantine.SettleTime if crashes await evaluation.
 func (s *simulation) scheduleDecision(n *node) {
 	if n.registry.Pending() {
 		s.after(quarantine.SettleTime, func() { s.decide(n) })
 	}
 }
 
-// decide has a node's registry reach verdicts on the crashes that have settled.
+// decide has a node's registry evaluate the crashes that are due, and publishes the node's registry
+// if that led to verdicts.
 func (s *simulation) decide(n *node) {
 	if len(n.registry.Evaluate(s.time())) > 0 {
 		s.publish(n)
--- a/internal/quarantinelab/simulation_test.go
+++ b/internal/quarantinelab/simulation_test.go
@@ -37,14 +37,14 @@
 	for _, d := range scenarios {
 		t.Run(d.name, func(t *testing.T) {
 			var ends []int
-			proper, bystanders := 0, 0
+			harmless, refused := 0, 0
 			for seed := range uint64(seeds) {
 				cfg := Default
 				cfg.Seed = seed + 1
 				d.change(&cfg)
 				r := Run(cfg)
 				ends = append(ends, r.Before...)
-				proper, bystanders = proper+r.Proper, bystanders+r.Bystanders
+				harmless, refused = harmless+r.Proper, refused+r.Bystanders
 				if late := slices.Max(r.Late); late > maxLate {
 					t.Errorf("seed %d: sent %d times after the third crash, want %d at most", cfg.Seed, late, maxLate)
 				}
@@ -56,8 +56,8 @@
 			// With three engines, most of them are down most of the time and every harmless request
 			// has been on one that crashed; in the other scenarios about one in ten thousand is
 			// refused.
-			if limit := proper / 250; bystanders > limit {
-				t.Errorf("%d of %d harmless requests were refused, want %d at most", bystanders, proper, limit)
+			if limit := harmless / 250; refused > limit {
+				t.Errorf("%d of %d harmless requests were refused, want %d at most", refused, harmless, limit)
 			}
 		})
 	}
--- a/internal/quotalab/doc.go
+++ b/internal/quotalab/doc.go
@@ -4,7 +4,7 @@
 // quota command of olivebench and the tests.
 //
 // The simulation uses the same [quota.Granter] and [quota.Allowance] as a running node: the granter
-// holds the limits' budgets, and each node's purse caches grants and falls back to the node's own
+// holds the limits' budgets, and each node's allowance caches grants and falls back to the node's own
 // share while the granter does not answer. Arrivals of each customer are spread over the nodes at
 // random. Grant requests and reports reach the granter, or do not while it is lost or the node is
 // partitioned from it. Answers arrive at once; a request without an answer takes as long as a node
--- a/internal/quotalab/simulation.go
+++ b/internal/quotalab/simulation.go
@@ -63,8 +63,8 @@
 // Shifted is the rule of the deployment of 71 nodes.
 var Shifted = Rule{Tolerance: quota.Tolerance{Share: 0.1, Slack: 17000}, Window: 8 * time.Second, LimitFactor: 1.8}
 
-// requestSizes holds the sizes of requests in that deployment, in tokens, and how many of each
-// arrive per second.
+// requestSizes holds the sizes of requests in the deployment of 71 nodes, in tokens, and how many
+// of each arrive per second.
 var requestSizes = []struct{ tokens, perSecond float64 }{{1114, 231}, {2392, 58}, {200, 111}}
 
 const (
@@ -78,8 +78,8 @@
 	probeEvery   = 200 * time.Millisecond
 	// step is the time resolution of the simulation.
 	step = 10 * time.Millisecond
-	// warmUp is the time from which refusals count: in a deployment, traffic starts after the
-	// nodes.
+	// warmUp is the time before which refusals are not counted: in a deployment, traffic starts
+	// later than the nodes.
 	warmUp = 2 * time.Second
 )
 
@@ -98,8 +98,8 @@
 	Questions float64
 }
 
-// passedRequest is an admitted request.
-type passedRequest struct {
+// admittedRequest is a request that was admitted, and when.
+type admittedRequest struct {
 	at     time.Time
 	tokens float64
 }
@@ -108,9 +108,9 @@
 type customerState struct {
 	name string
 	// usual is the usual traffic, in tokens per second.
-	usual  float64
-	limit  customer.Limit
-	passed []passedRequest
+	usual    float64
+	limit    customer.Limit
+	admitted []admittedRequest
 	// level is the content that a single token bucket for all nodes would have at levelAt, charged
 	// with the admitted requests.
 	level   float64
@@ -253,7 +253,7 @@
 	}
 	if admitted {
 		c.level -= need
-		c.passed = append(c.passed, passedRequest{at, need})
+		c.admitted = append(c.admitted, admittedRequest{at, need})
 	}
 }
 
@@ -316,7 +316,7 @@
 	}
 	for _, c := range sim.customers {
 		allowed := (c.limit.Rate*Shifted.Window.Seconds()+c.limit.Burst)*(1+Shifted.Share) + Shifted.Slack
-		x := maxInWindow(c.passed, Shifted.Window) / allowed
+		x := maxInWindow(c.admitted, Shifted.Window) / allowed
 		r.Worst = max(r.Worst, x)
 		if x > 1 {
 			r.Over++
@@ -326,13 +326,13 @@
 }
 
 // maxInWindow returns the most tokens admitted in any window. It sorts its argument.
-func maxInWindow(passed []passedRequest, window time.Duration) float64 {
-	slices.SortFunc(passed, func(a, b passedRequest) int { return a.at.Compare(b.at) })
+func maxInWindow(admitted []admittedRequest, window time.Duration) float64 {
+	slices.SortFunc(admitted, func(a, b admittedRequest) int { return a.at.Compare(b.at) })
 	most, sum, first := 0.0, 0.0, 0
-	for _, s := range passed {
+	for _, s := range admitted {
 		sum += s.tokens
-		for ; s.at.Sub(passed[first].at) > window; first++ {
-			sum -= passed[first].tokens
+		for ; s.at.Sub(admitted[first].at) > window; first++ {
+			sum -= admitted[first].tokens
 		}
 		most = max(most, sum)
 	}
--- a/internal/quotalab/simulation_test.go
+++ b/internal/quotalab/simulation_test.go
@@ -45,7 +45,7 @@
 		{"a small one hot and the granter lost", small, 1},
 		{"7 nodes", few, 1},
 		// Guards against usage of 1.02 times what is allowed: the granter counted the shares of
-		// partitioned nodes for too long, beside what these nodes spent by themselves.
+		// partitioned nodes for too long, in addition to what these nodes spent on their own.
 		{"7 nodes, a third cut off", fewCut, 1},
 		{"300 nodes", many, 1},
 		{"1,000 customers", manyCustomers, 1},
