--- a/standin/engine/complete.go
+++ b/standin/engine/complete.go
@@ -16,7 +16,7 @@
 const (
 	headerNotRun     = "Engine-Not-Run"
 	headerRunning    = "Engine-Running"
-	headerLeaving    = "Engine-Leaving"
+	headerDraining   = "Engine-Leaving"
 	headerResumeFrom = "Engine-Resume-From"
 	headerRequestID  = "Engine-Request-Id"
 	headerVersion    = "Engine-Model-Version"
@@ -74,8 +74,8 @@
 	}
 	defer e.finish(res)
 	w.Header().Set(headerRunning, strconv.Itoa(e.inProgress()))
-	if e.isLeaving() {
-		w.Header().Set(headerLeaving, "true")
+	if e.isDraining() {
+		w.Header().Set(headerDraining, "true")
 	}
 	if c.Stream {
 		e.stream(w, r, &c)
@@ -129,10 +129,10 @@
 	return e.running
 }
 
-func (e *Engine) isLeaving() bool {
+func (e *Engine) isDraining() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.leaving
+	return e.draining
 }
 
 // stream sends one event for each token from the requested one on, and at the end "[DONE]".
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -69,7 +69,7 @@
 	fence       uint64
 	used        uint64
 	running     int
-	leaving     bool
+	draining    bool
 	units       map[unitKey]*resident
 	disk        map[unitKey]bool
 	violations  []string
@@ -102,10 +102,10 @@
 }
 
 // SetLeaving sets whether the engine announces in its status and responses that it drains.
-func (e *Engine) SetLeaving(leaving bool) {
+func (e *Engine) SetLeaving(draining bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = leaving
+	e.draining = draining
 }
 
 // Violations returns a message for each order that the engine refused because it exceeded its
@@ -168,10 +168,10 @@
 
 // update adds the time since the last call to the sum if the engine was idle, records whether it is
 // idle from now on, and returns the sum.
-func (b *idleClock) update(now time.Time, holds, runs bool) time.Duration {
-	if b.idling {
-		b.sum += now.Sub(b.last)
+func (c *idleClock) update(now time.Time, holds, runs bool) time.Duration {
+	if c.idling {
+		c.sum += now.Sub(c.last)
 	}
-	b.last, b.idling = now, holds && !runs
-	return b.sum
+	c.last, c.idling = now, holds && !runs
+	return c.sum
 }
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -238,7 +238,7 @@
 	e.mu.Lock()
 	st := engineStatus{
 		Instance: e.Instance, Incarnation: e.incarnation, Hall: e.Hall, MemoryBytes: e.MemoryBytes,
-		UsedBytes: e.used, ChecksFences: e.ChecksFences, Running: e.running, Leaving: e.leaving,
+		UsedBytes: e.used, ChecksFences: e.ChecksFences, Running: e.running, Leaving: e.draining,
 	}
 	for k, res := range e.units {
 		st.Units = append(st.Units, unitStatus{k.Unit, k.Version, phaseNames[res.phase]})
