--- a/cmd/olivebench/quarantine.go
+++ b/cmd/olivebench/quarantine.go
@@ -58,18 +58,18 @@
 
 // printRow prints a table row with the figures of all runs.
 func (c *quarantineCmd) printRow(w *tabwriter.Writer, name string, results []quarantinelab.Result) {
-	var ends, before, late []int
+	var crashes, before, late []int
 	var everywhere []time.Duration
 	var sum quarantinelab.Result
 	for _, r := range results {
-		ends, before, late, everywhere = append(ends, r.Ends...), append(before, r.Before...), append(late, r.Late...), append(everywhere, r.Everywhere...)
+		crashes, before, late, everywhere = append(crashes, r.Ends...), append(before, r.Before...), append(late, r.Late...), append(everywhere, r.Everywhere...)
 		sum.Proper, sum.Served, sum.Bystanders, sum.Bytes = sum.Proper+r.Proper, sum.Served+r.Served, sum.Bystanders+r.Bystanders, sum.Bytes+r.Bytes
 	}
-	slices.Sort(ends)
+	slices.Sort(crashes)
 	slices.Sort(before)
 	slices.Sort(everywhere)
 	seconds := float64(len(results)) * c.Duration.Seconds() * float64(c.Nodes)
-	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%v\t%v\t%.0f\n", name, percentile(ends, 50), percentile(ends, 90), percentile(ends, 100),
+	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%v\t%v\t%.0f\n", name, percentile(crashes, 50), percentile(crashes, 90), percentile(crashes, 100),
 		percentile(before, 50), percentile(before, 90), percentile(before, 100), slices.Max(late), sum.Proper, float64(sum.Served)/float64(max(1, sum.Proper)), sum.Bystanders,
 		percentile(everywhere, 50).Round(time.Millisecond), percentile(everywhere, 100).Round(time.Millisecond), float64(sum.Bytes)/seconds)
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -39,7 +39,7 @@
 	requestsPerModel = 2 // requests for each model at each node
 	onceKeys         = 20
 	tokens           = 24
-	askTimeout       = 15 * time.Second
+	requestTimeout   = 15 * time.Second
 	streamsAtStop    = 14
 )
 
@@ -150,7 +150,7 @@
 				if m%coldModels == coldModels-1 {
 					name = site.AdapterName(0)
 				}
-				ask := client.Completion{Model: name, Prompt: fmt.Sprintf("%s-%d", n.Settings.Name, m), Tokens: tokens, Stream: m%2 == 0, Timeout: askTimeout}
+				ask := client.Completion{Model: name, Prompt: fmt.Sprintf("%s-%d", n.Settings.Name, m), Tokens: tokens, Stream: m%2 == 0, Timeout: requestTimeout}
 				res := c.Complete(ctx, n.CallerAddress(), ask)
 				mu.Lock()
 				defer mu.Unlock()
@@ -202,7 +202,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				res := c.Call(ctx, n.CallerAddress(), svc, "/new", askTimeout, key, body)
+				res := c.Call(ctx, n.CallerAddress(), svc, "/new", requestTimeout, key, body)
 				mu.Lock()
 				defer mu.Unlock()
 				r.onceSent++
@@ -238,7 +238,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ask := client.Completion{Model: site.ModelName(i % 2), Prompt: fmt.Sprint("stop", i), Tokens: 150, Stream: true, Timeout: askTimeout}
+			ask := client.Completion{Model: site.ModelName(i % 2), Prompt: fmt.Sprint("stop", i), Tokens: 150, Stream: true, Timeout: requestTimeout}
 			res := c.Complete(ctx, n.CallerAddress(), ask)
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/modelcheck/claims.go
+++ b/internal/modelcheck/claims.go
@@ -137,8 +137,8 @@
 	if n.applied < countRecords(w.log) {
 		put("folds", func(w *claimWorld, n *claimant) { m.applyNext(w, i) })
 	}
-	mayGiveUp := !n.sent || m.guards.ReleaseAfterSend
-	if n.won && !n.ended && mayGiveUp {
+	mayRelease := !n.sent || m.guards.ReleaseAfterSend
+	if n.won && !n.ended && mayRelease {
 		put("gives up and releases", func(w *claimWorld, n *claimant) {
 			n.ended, n.reportedNotRun = true, true
 			w.log += fmt.Sprintf("release %d\n", i)
--- a/internal/modelcheck/placement.go
+++ b/internal/modelcheck/placement.go
@@ -159,19 +159,19 @@
 	var node int
 	var fence uint64
 	_, _ = fmt.Sscan(line, &kind, &unit, &node, &fence)
-	kind, unsure := strings.CutSuffix(kind, "?")
+	kind, unconfirmed := strings.CutSuffix(kind, "?")
 	r := &pb.Record{Node: fmt.Sprint(node), Incarnation: 1, Sequence: sequence}
 	switch kind {
 	case "load":
 		r.Body = &pb.Record_Load{Load: &pb.Load{Unit: unit, Version: modelVersion, Engine: modelEngine, EngineIncarnation: 1, Want: 1}}
 	case "loaded":
-		r.Body = &pb.Record_LoadDone{LoadDone: &pb.LoadDone{Unit: unit, Version: modelVersion, Engine: modelEngine, Fence: fence, Unsure: unsure}}
+		r.Body = &pb.Record_LoadDone{LoadDone: &pb.LoadDone{Unit: unit, Version: modelVersion, Engine: modelEngine, Fence: fence, Unsure: unconfirmed}}
 	case "takeover":
 		r.Body = &pb.Record_Takeover{Takeover: &pb.Takeover{Unit: unit, Version: modelVersion, Engine: modelEngine, Fence: fence}}
 	case "unload":
 		r.Body = &pb.Record_Unload{Unload: &pb.Unload{Unit: unit, Version: modelVersion, Engine: modelEngine, Fence: fence}}
 	case "unloaded":
-		r.Body = &pb.Record_UnloadDone{UnloadDone: &pb.UnloadDone{Unit: unit, Version: modelVersion, Engine: modelEngine, Fence: fence, Unsure: unsure}}
+		r.Body = &pb.Record_UnloadDone{UnloadDone: &pb.UnloadDone{Unit: unit, Version: modelVersion, Engine: modelEngine, Fence: fence, Unsure: unconfirmed}}
 	case "clean":
 		r.Body = &pb.Record_QuarantineEnd{QuarantineEnd: &pb.QuarantineEnd{Unit: unit, Version: modelVersion, Engine: modelEngine, Fence: fence}}
 	}
--- a/internal/policylab/policies.go
+++ b/internal/policylab/policies.go
@@ -97,8 +97,8 @@
 	if !ok {
 		return policy.Decision{}
 	}
-	ahead := o.loadTime[unit] + 3*planInterval
-	return policy.Decision{Hold: gap < 2*ahead, Prewarm: gap < ahead}
+	leadTime := o.loadTime[unit] + 3*planInterval
+	return policy.Decision{Hold: gap < 2*leadTime, Prewarm: gap < leadTime}
 }
 
 // ReloadCost implements plan.Policy: the replica whose next use is furthest away is evicted first.
--- a/internal/policylab/simulation.go
+++ b/internal/policylab/simulation.go
@@ -408,15 +408,15 @@
 	}
 	// Integers are summed over the map and converted to hours once: the last digits of a
 	// floating-point sum would depend on the iteration order of the map.
-	idle, held := 0, uint64(0)
+	idle, usedBytes := 0, uint64(0)
 	for name, e := range s.state.Engines {
 		if e.Used > 0 && s.runningByEngine[name] == 0 {
 			idle++
-			held += e.Used
+			usedBytes += e.Used
 		}
 	}
 	s.result.IdleHours += hours * float64(idle)
-	s.result.IdleHoursByMemory += hours * float64(held) / float64(s.EngineMemory)
+	s.result.IdleHoursByMemory += hours * float64(usedBytes) / float64(s.EngineMemory)
 }
 
 // summary returns the result with its quantiles and totals.
--- a/internal/policylab/simulation_test.go
+++ b/internal/policylab/simulation_test.go
@@ -24,12 +24,12 @@
 func TestPolicyBounds(t *testing.T) {
 	work, platform := Suva(3, 5), DefaultPlatform()
 	fixed := Run(work, platform, policy.Fixed{Keep: 40 * time.Minute})
-	ours := Run(work, platform, Costed(60))
-	t.Logf("fixed: %.0f cold s, %.0f idle h; ours: %.0f cold s, %.0f idle h", fixed.ColdSeconds, fixed.IdleHours, ours.ColdSeconds, ours.IdleHours)
-	if ours.Refused > 0 || fixed.Refused > 0 {
-		t.Errorf("refused %d requests with the product's policy and %d with a fixed keep-alive, want 0", ours.Refused, fixed.Refused)
+	product := Run(work, platform, Costed(60))
+	t.Logf("fixed: %.0f cold s, %.0f idle h; ours: %.0f cold s, %.0f idle h", fixed.ColdSeconds, fixed.IdleHours, product.ColdSeconds, product.IdleHours)
+	if product.Refused > 0 || fixed.Refused > 0 {
+		t.Errorf("refused %d requests with the product's policy and %d with a fixed keep-alive, want 0", product.Refused, fixed.Refused)
 	}
-	if a, b := ours.Cost(1, 60), fixed.Cost(1, 60); a > 0.95*b {
+	if a, b := product.Cost(1, 60), fixed.Cost(1, 60); a > 0.95*b {
 		t.Errorf("weighted cost %.0f, fixed keep-alive %.0f: want at most 95%% of it", a, b)
 	}
 }
--- a/internal/quarantinelab/simulation_test.go
+++ b/internal/quarantinelab/simulation_test.go
@@ -36,21 +36,21 @@
 	const seeds = 8
 	for _, d := range scenarios {
 		t.Run(d.name, func(t *testing.T) {
-			var ends []int
+			var crashes []int
 			harmless, refused := 0, 0
 			for seed := range uint64(seeds) {
 				cfg := Default
 				cfg.Seed = seed + 1
 				d.change(&cfg)
 				r := Run(cfg)
-				ends = append(ends, r.Before...)
+				crashes = append(crashes, r.Before...)
 				harmless, refused = harmless+r.Proper, refused+r.Bystanders
 				if late := slices.Max(r.Late); late > maxLate {
 					t.Errorf("seed %d: sent %d times after the third crash, want %d at most", cfg.Seed, late, maxLate)
 				}
 			}
-			slices.Sort(ends)
-			if median := ends[len(ends)/2]; median > 3 {
+			slices.Sort(crashes)
+			if median := crashes[len(crashes)/2]; median > 3 {
 				t.Errorf("engines lost to one request at the median: %d until its verdict, want 3 at most", median)
 			}
 			// With three engines, most of them are down most of the time and every harmless request
