--- a/cmd/olivebench/quarantine.go
+++ b/cmd/olivebench/quarantine.go
@@ -32,19 +32,19 @@
 
 // Run implements the command.
 func (c *quarantineCmd) Run() error {
-	with, without := c.play(false), c.play(true)
+	with, without := c.simulate(false), c.simulate(true)
 	if c.JSON {
 		return printResult(map[string][]quarantinelab.Result{"with": with, "without": without}, nil)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "QUARANTINE\tENDS P50\tP90\tMOST\tUNTIL VERDICT P50\tP90\tMOST\tLATE MOST\tPROPER\tSERVED\tREFUSED\tEVERYWHERE P50\tMOST\tBYTES/NODE/S")
-	c.row(w, "with", with)
-	c.row(w, "without", without)
+	c.printRow(w, "with", with)
+	c.printRow(w, "without", without)
 	return w.Flush()
 }
 
-// play runs the simulation once for each seed, with the quarantine or without it.
-func (c *quarantineCmd) play(off bool) []quarantinelab.Result {
+// simulate runs the simulation once for each seed, with the quarantine or without it.
+func (c *quarantineCmd) simulate(off bool) []quarantinelab.Result {
 	var out []quarantinelab.Result
 	for seed := range c.Seeds {
 		cfg := quarantinelab.Default
@@ -56,20 +56,20 @@
 	return out
 }
 
-// row prints a table row with the figures of all runs.
-func (c *quarantineCmd) row(w *tabwriter.Writer, name string, results []quarantinelab.Result) {
-	var ends, before, late []int
+// printRow prints a table row with the figures of all runs.
+func (c *quarantineCmd) printRow(w *tabwriter.Writer, name string, results []quarantinelab.Result) {
+	var crashes, before, late []int
 	var everywhere []time.Duration
 	var sum quarantinelab.Result
 	for _, r := range results {
-		ends, before, late, everywhere = append(ends, r.Ends...), append(before, r.Before...), append(late, r.Late...), append(everywhere, r.Everywhere...)
+		crashes, before, late, everywhere = append(crashes, r.Ends...), append(before, r.Before...), append(late, r.Late...), append(everywhere, r.Everywhere...)
 		sum.Proper, sum.Served, sum.Bystanders, sum.Bytes = sum.Proper+r.Proper, sum.Served+r.Served, sum.Bystanders+r.Bystanders, sum.Bytes+r.Bytes
 	}
-	slices.Sort(ends)
+	slices.Sort(crashes)
 	slices.Sort(before)
 	slices.Sort(everywhere)
 	seconds := float64(len(results)) * c.Duration.Seconds() * float64(c.Nodes)
-	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%v\t%v\t%.0f\n", name, percentile(ends, 50), percentile(ends, 90), percentile(ends, 100),
+	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%v\t%v\t%.0f\n", name, percentile(crashes, 50), percentile(crashes, 90), percentile(crashes, 100),
 		percentile(before, 50), percentile(before, 90), percentile(before, 100), slices.Max(late), sum.Proper, float64(sum.Served)/float64(max(1, sum.Proper)), sum.Bystanders,
 		percentile(everywhere, 50).Round(time.Millisecond), percentile(everywhere, 100).Round(time.Millisecond), float64(sum.Bytes)/seconds)
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -39,7 +39,7 @@
 	requestsPerModel = 2 // requests for each model at each node
 	onceKeys         = 20
 	tokens           = 24
-	askTimeout       = 15 * time.Second
+	requestTimeout   = 15 * time.Second
 	streamsAtStop    = 14
 )
 
@@ -49,7 +49,7 @@
 	// p50 and p99 are quantiles of coldStarts.
 	p50, p99            time.Duration
 	decided, loaded     int
-	sent, whole         int
+	sent, complete      int
 	refused             int
 	duplicateRuns, lost int
 	cutOff              int
@@ -150,7 +150,7 @@
 				if m%coldModels == coldModels-1 {
 					name = site.AdapterName(0)
 				}
-				ask := client.Completion{Model: name, Prompt: fmt.Sprintf("%s-%d", n.Settings.Name, m), Tokens: tokens, Stream: m%2 == 0, Timeout: askTimeout}
+				ask := client.Completion{Model: name, Prompt: fmt.Sprintf("%s-%d", n.Settings.Name, m), Tokens: tokens, Stream: m%2 == 0, Timeout: requestTimeout}
 				res := c.Complete(ctx, n.CallerAddress(), ask)
 				mu.Lock()
 				defer mu.Unlock()
@@ -177,7 +177,7 @@
 	r.sent++
 	switch {
 	case res.Whole:
-		r.whole++
+		r.complete++
 	case res.Refused():
 		r.refused++
 	default:
@@ -202,7 +202,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				res := c.Call(ctx, n.CallerAddress(), svc, "/new", askTimeout, key, body)
+				res := c.Call(ctx, n.CallerAddress(), svc, "/new", requestTimeout, key, body)
 				mu.Lock()
 				defer mu.Unlock()
 				r.onceSent++
@@ -238,7 +238,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ask := client.Completion{Model: site.ModelName(i % 2), Prompt: fmt.Sprint("stop", i), Tokens: 150, Stream: true, Timeout: askTimeout}
+			ask := client.Completion{Model: site.ModelName(i % 2), Prompt: fmt.Sprint("stop", i), Tokens: 150, Stream: true, Timeout: requestTimeout}
 			res := c.Complete(ctx, n.CallerAddress(), ask)
 			mu.Lock()
 			defer mu.Unlock()
@@ -297,7 +297,7 @@
 	row("cold start p50", func(r *report) string { return ms(r.p50) })
 	row("cold start p99", func(r *report) string { return ms(r.p99) })
 	row("loads decided / done", func(r *report) string { return fmt.Sprintf("%d / %d", r.decided, r.loaded) })
-	row("answers complete / asked", func(r *report) string { return fmt.Sprintf("%d / %d", r.whole, r.sent) })
+	row("answers complete / asked", func(r *report) string { return fmt.Sprintf("%d / %d", r.complete, r.sent) })
 	row("refused with a reason", func(r *report) string { return fmt.Sprint(r.refused) })
 	row("once-only requests sent twice", func(r *report) string { return fmt.Sprint(r.onceSent / 2) })
 	row("doubles", func(r *report) string { return fmt.Sprint(r.duplicateRuns) })
