--- a/internal/placer/controller.go
+++ b/internal/placer/controller.go
@@ -48,8 +48,8 @@
 	Report(ctx context.Context, engine, address string) (placement.Report, error)
 }
 
-// Peers calls other nodes by address. Report, Watch, Credit and Turn are answered by the lease holder, Watch also by
-// feeders, and Lease and Exchange by any node.
+// Peers calls other nodes by address. Report, Watch, RequestGrant and RequestRunLock are answered by the lease holder,
+// Watch also by feeders, and Lease and Exchange by any node.
 type Peers interface {
 	Report(ctx context.Context, address string, r *peer.Report) error
 	Watch(ctx context.Context, address string, q peer.WatchRequest) (*peer.Snapshot, error)
@@ -196,8 +196,8 @@
 	reporting, dirty bool
 	reportedAt       time.Time
 	nodes            map[string]follower
-	// viewStale requests a new view: of the endpoints in touched, or of all endpoints if rebuildAll is set. index
-	// holds the endpoints of the latest view, and startsRecorded is what directory.TellStarts returned when it was
+	// viewStale requests a new view: of the endpoints in touched, or of all endpoints if rebuildAll is set. index holds
+	// the endpoints of the latest view, and startsRecorded is what directory.StartsPublished returned when it was
 	// built.
 	viewStale, rebuildAll bool
 	touched               map[string]bool
@@ -411,7 +411,7 @@
 			c.published.setConfig(t.Config)
 		}
 		c.published.setEvacuations(c.halls.evacuated.Halls(), c.halls.evacuated.AsOf())
-		c.published.collectQuestions(now, int(c.feeding.nodes.Load()), c.feeding.plan())
+		c.published.collectRequests(now, int(c.feeding.nodes.Load()), c.feeding.plan())
 		c.setNodes(len(c.nodes)+1, now)
 		c.termPublished = false
 		if c.listed {
@@ -504,8 +504,8 @@
 	c.leaseUncertain.Store(true)
 }
 
-// BeginStop begins a planned stop: the node reports that it is stopping and releases the lease if it holds it. ctx bounds
-// the release.
+// BeginStop begins a planned stop: the node reports that it is stopping and releases the lease if it holds it. ctx
+// bounds the release.
 func (c *Controller) BeginStop(ctx context.Context) {
 	c.stopping.Store(true)
 	c.inbox.Send(ctx, stop{ctx})
--- a/internal/placer/feeding.go
+++ b/internal/placer/feeding.go
@@ -15,7 +15,7 @@
 
 // Times and limits of the feed tree.
 const (
-	// collectWindow is how long a lease holder that knows of no other nodes collects questions before it plans the
+	// collectWindow is how long a lease holder that knows of no other nodes collects watch requests before it plans the
 	// feed tree.
 	collectWindow = 300 * time.Millisecond
 	// planTreeEvery is the interval between two plans.
@@ -152,13 +152,13 @@
 	return !c.o.Fenced || c.feeding.nodes.Load() <= feedtree.FanOut
 }
 
-// admission is the lease holder's decision on a question, a follower's long poll for a snapshot.
+// admission is the lease holder's decision on a watch request, a follower's long poll for a snapshot.
 type admission uint8
 
 const (
-	// serveDirectly answers the question with a snapshot.
+	// serveDirectly answers the request with a snapshot.
 	serveDirectly admission = iota
-	// waitForPlan keeps the question open until there is a feed plan.
+	// waitForPlan keeps the request open until there is a feed plan.
 	waitForPlan
 	// redirect answers with the feeders to ask instead.
 	redirect
@@ -172,7 +172,7 @@
 	noFeeder bool
 }
 
-// admit decides on a question to the lease holder and records the requester.
+// admit decides on a watch request to the lease holder and records the requester.
 func (p *publication) admit(q *peer.WatchRequest, now time.Time) admission {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -217,15 +217,15 @@
 	return out
 }
 
-// mayPlan reports whether the lease holder may plan the feed tree: its term is published and the collection of
-// questions is over.
+// mayPlan reports whether the lease holder may plan the feed tree: its term is published and the collection of watch
+// requests is over.
 func (p *publication) mayPlan(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.incarnation != "" && !now.Before(p.collectUntil)
 }
 
-// setFeeders publishes a feed plan and wakes the questions that wait for one.
+// setFeeders publishes a feed plan and wakes the watch requests that wait for one.
 func (p *publication) setFeeders(feeders []feedtree.Node, nodes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -243,9 +243,9 @@
 	}
 }
 
-// collectQuestions begins to accept questions before the list of endpoints was read. known is the number of nodes
+// collectRequests begins to accept watch requests before the list of endpoints was read. known is the number of nodes
 // under the previous lease holder; 0 if unknown.
-func (p *publication) collectQuestions(now time.Time, known int, feeders []feedtree.Node) {
+func (p *publication) collectRequests(now time.Time, known int, feeders []feedtree.Node) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.collecting, p.requesters, p.planned = true, make(map[string]requester), known > 0
@@ -255,8 +255,8 @@
 	}
 }
 
-// status reports whether a term is published, and whether questions are collected for one that is about to be.
-// Questions are accepted in both cases.
+// status reports whether a term is published, and whether watch requests are collected for one that is about to be.
+// They are accepted in both cases.
 func (p *publication) status() (published, collecting bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -270,7 +270,7 @@
 	return &peer.Snapshot{Redirect: true, Nodes: p.nodes, Fence: p.fence, Feeders: p.feeders}
 }
 
-// awaitPlan keeps a question to the lease holder open until it can be decided or q.Wait is over.
+// awaitPlan keeps a watch request to the lease holder open until it can be decided or q.Wait is over.
 func (c *Controller) awaitPlan(ctx context.Context, w *watcher, q *peer.WatchRequest) (admission, error) {
 	timeout := c.o.Clock.After(q.Wait)
 	for {
--- a/internal/placer/feeding_test.go
+++ b/internal/placer/feeding_test.go
@@ -20,9 +20,9 @@
 	"olivetiller/io/peer"
 )
 
-// fleetQuestions returns one question of each node of a fleet in five data halls; every twentieth node per hall is
+// fleetRequests returns one watch request of each node of a fleet in five data halls; every twentieth node per hall is
 // strong.
-func fleetQuestions(nodes int) []peer.WatchRequest {
+func fleetRequests(nodes int) []peer.WatchRequest {
 	var out []peer.WatchRequest
 	for i := range nodes {
 		q := peer.WatchRequest{Node: fmt.Sprintf("n%04d", i), Address: fmt.Sprintf("n%04d:1", i), Hall: string(rune('a' + i%5)), Strength: 4}
@@ -42,16 +42,16 @@
 			clock := clockwork.NewFakeClock()
 			c := newController(clock)
 			c.held = true
-			c.published.collectQuestions(clock.Now(), 0, nil)
+			c.published.collectRequests(clock.Now(), 0, nil)
 			count := func() map[admission]int {
 				out := make(map[admission]int)
-				for _, q := range fleetQuestions(nodes) {
+				for _, q := range fleetRequests(nodes) {
 					out[c.published.admit(&q, clock.Now())]++
 				}
 				return out
 			}
 			if got := count()[waitForPlan]; got != nodes {
-				t.Errorf("%d of %d questions wait before the term begins", got, nodes)
+				t.Errorf("%d of %d watch requests wait before the term begins", got, nodes)
 			}
 			c.published.begin("a-1/1", 1, 1, nil, 0)
 			clock.Advance(collectWindow)
@@ -61,7 +61,7 @@
 				t.Errorf("%v, want at most %d nodes served directly", got, feedtree.FanOut)
 			}
 			if got[waitForPlan] > 0 {
-				t.Errorf("%d questions still wait after the plan was made", got[waitForPlan])
+				t.Errorf("%d watch requests still wait after the plan was made", got[waitForPlan])
 			}
 			if n := c.feeding.nodes.Load(); n != int64(nodes)+1 {
 				t.Errorf("%d nodes known, want %d", n, nodes+1)
@@ -70,7 +70,7 @@
 				t.Errorf("redirected nodes are sent a count of %d, want %d: a smaller one has them read the store at once", s.Nodes, nodes+1)
 			}
 			served := 0
-			for _, q := range fleetQuestions(nodes) {
+			for _, q := range fleetRequests(nodes) {
 				q.Orphan = true
 				if c.published.admit(&q, clock.Now()) == serveDirectly {
 					served++
@@ -139,7 +139,8 @@
 	serving     map[string][]string
 	list        *directory.Directory
 	relay       publication
-	// holderSeenAt and asOf are the times that the node assigns to the lease holder's state and to the store state in it.
+	// holderSeenAt and asOf are the times that the node assigns to the lease holder's state and to the store state in
+	// it.
 	holderSeenAt, asOf time.Time
 }
 
--- a/internal/placer/fullsnapshot_test.go
+++ b/internal/placer/fullsnapshot_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestFullSnapshotsAreShared checks that nodes which ask for the full state in a short time share the same encoded
-// parts, and receive later changes with their next question.
+// parts, and receive later changes with their next watch request.
 func TestFullSnapshotsAreShared(t *testing.T) {
 	var p publication
 	p.init()
--- a/internal/placer/halls_test.go
+++ b/internal/placer/halls_test.go
@@ -20,7 +20,8 @@
 	coldRate  = 8.0
 )
 
-// newHallController returns a controller that knows one endpoint of a service without engines in each of two data halls.
+// newHallController returns a controller that knows one endpoint of a service without engines in each of two data
+// halls.
 func newHallController(t *testing.T, clock clockwork.Clock) *Controller {
 	t.Helper()
 	c := newController(clock)
@@ -108,7 +109,7 @@
 }
 
 // TestEvacuationReachesAllNodes checks that a node receives the evacuations with a full snapshot, and changes of them
-// as urgent news.
+// at once.
 func TestEvacuationReachesAllNodes(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	h, n := newHallController(t, clock), newHallController(t, clock)
@@ -125,7 +126,7 @@
 	got = append(got, n.halls.evacuated.Halls())
 	q := peer.WatchRequest{Node: "n", Life: "h-1", Version: h.published.version}
 	if ask(q) {
-		t.Error("a question without any change is urgent")
+		t.Error("a snapshot without any change is urgent")
 	}
 	configPage{operatorPage(0, 6, logstore.Evacuation{Hall: "b", On: true}), false, clock.Now()}.handle(h)
 	if !ask(q) {
--- a/internal/placer/holderstate.go
+++ b/internal/placer/holderstate.go
@@ -83,8 +83,8 @@
 	connected bool
 }
 
-// question returns the next question to a source, which is a long poll for a snapshot.
-func (w *watchState) question(c *Controller, from source) peer.WatchRequest {
+// nextRequest returns the next watch request to a source, which is a long poll for a snapshot.
+func (w *watchState) nextRequest(c *Controller, from source) peer.WatchRequest {
 	if from.address != w.address {
 		// suspectsTo and signalsTo are versions of the node that answered, and mean nothing to another one.
 		w.address, w.suspectsTo, w.signalsTo = from.address, 0, 0
@@ -103,7 +103,7 @@
 func (c *Controller) watchOnce(ctx context.Context, w *watchState, h lease.Record) bool {
 	asked := c.o.Clock.Now()
 	from := c.sourceOf(h, w.avoid, asked)
-	s, err := c.o.Peers.Watch(ctx, from.address, w.question(c, from))
+	s, err := c.o.Peers.Watch(ctx, from.address, w.nextRequest(c, from))
 	now := c.o.Clock.Now()
 	switch {
 	case err == nil && s.Fence >= w.fence:
@@ -138,8 +138,8 @@
 	w.incarnation, w.version, w.suspectsTo, w.signalsTo, w.fence = s.Term, s.Version, s.SuspectsTo, s.SignalsTo, s.Fence
 	took := now.Sub(asked)
 	c.o.Logger.Trace("heard", "version", s.Version, "tookMs", took.Milliseconds())
-	// The duration of the call minus the time that the question was held is the round trip. How much of it was the
-	// way back is unknown, so that all of it counts towards the snapshot's age.
+	// The duration of the call minus the time that the request was held is the round trip. How much of it the answer
+	// took is unknown, so that all of it counts towards the snapshot's age.
 	transit := max(0, took-time.Duration(s.HeldMs)*time.Millisecond)
 	if from.feeder && time.Duration(s.HolderAgeMs)*time.Millisecond+transit > c.timing.watchWait+holderTTL/2 {
 		// The feeder is slow or has lost the lease holder; another one may have newer state.
@@ -151,7 +151,7 @@
 // errText returns the error of an answer, or that it has an outdated fence if err is nil.
 func errText(err error) string {
 	if err == nil {
-		return "it speaks for a holder of before"
+		return "the answer has the fence of an earlier lease holder"
 	}
 	return err.Error()
 }
--- a/internal/placer/isolation_test.go
+++ b/internal/placer/isolation_test.go
@@ -84,7 +84,7 @@
 	m := a.exchangeWith(t.Context(), "b", exchangeMark{})
 	ends := func(c *Controller) int { return c.suspects.guard.List()[0].Crashes }
 	if diff := cmp.Diff([]int{2, 2}, []int{ends(a), ends(b)}); diff != "" {
-		t.Errorf("ends known to a and b (-want +got):\n%s", diff)
+		t.Errorf("crashes known to a and b (-want +got):\n%s", diff)
 	}
 	m = a.exchangeWith(t.Context(), "b", m)
 	if entries, _ := a.suspects.guard.Since(m.sent, quarantine.AllRecords); len(entries) != 0 {
@@ -95,7 +95,7 @@
 	m = a.exchangeWith(t.Context(), "b", m)
 	a.exchangeWith(t.Context(), "b", m)
 	if diff := cmp.Diff(2, ends(d.nodes["b"])); diff != "" {
-		t.Errorf("ends known to b after its restart (-want +got):\n%s", diff)
+		t.Errorf("crashes known to b after its restart (-want +got):\n%s", diff)
 	}
 }
 
@@ -135,7 +135,7 @@
 
 // TestConvictionNeedsAllSuspicions checks that a node with a lease holder leaves convictions by probability to the
 // holder, which receives all suspicions, and that a node without one decides itself. A node that knew of two of the
-// eight suspects of a crash convicted proper requests, since it overrated the probability of each.
+// eight suspects of a crash convicted harmless requests, since it overrated the probability of each.
 func TestConvictionNeedsAllSuspicions(t *testing.T) {
 	tests := []struct {
 		name           string
@@ -158,7 +158,7 @@
 			clock.Advance(time.Minute)
 			c.evaluateSuspects()
 			if diff := cmp.Diff(tt.want.String(), c.suspects.guard.State(f).String()); diff != "" {
-				t.Errorf("after two ends (-want +got):\n%s", diff)
+				t.Errorf("after two crashes (-want +got):\n%s", diff)
 			}
 			if tt.hearsOf {
 				c.holderState.fresh = false
--- a/internal/placer/metrics.go
+++ b/internal/placer/metrics.go
@@ -27,9 +27,9 @@
 			// -1 if it received none.
 			FeedAge int64 `json:"feedAgeMs"`
 
-			// Nodes is how many nodes share the traffic, Feeders is how many of them are feeders, and Feeds is
-			// whether this node is one. Fed counts the followers with an open question at this node. HolderAge is how
-			// old, in milliseconds, the lease holder's latest state is here; -1 if none was received.
+			// Nodes is how many nodes share the traffic, Feeders is how many of them are feeders, and Feeds is whether
+			// this node is one. Fed counts the followers with an open watch request at this node. HolderAge is how old,
+			// in milliseconds, the lease holder's latest state is here; -1 if none was received.
 			Nodes     int64 `json:"nodes"`
 			Feeders   int   `json:"feeders"`
 			Feeds     bool  `json:"feeds"`
@@ -42,7 +42,7 @@
 
 			Faults map[logstore.Reason]int `json:"recordsPassedOver"`
 		}{Ready: c.Ready(), Version: v.Revision, Pools: v.Pools(), Loading: len(v.ReadyAt), Holder: c.publishedIncarnation() != "", Store: c.storeLoads.Load(), Again: c.engineRestarts.Load(), PutBacks: c.restores.Load(), ConfigAge: c.configAgeMs(), FeedAge: c.relayAgeMs(), Faults: c.faults.all(),
-			Nodes: c.feeding.nodes.Load(), Feeders: len(c.feeding.plan()), Feeds: c.isFeeder(), Fed: c.published.openQuestions() + c.relay.openQuestions(), HolderAge: c.holderAgeMs(),
+			Nodes: c.feeding.nodes.Load(), Feeders: len(c.feeding.plan()), Feeds: c.isFeeder(), Fed: c.published.openRequests() + c.relay.openRequests(), HolderAge: c.holderAgeMs(),
 			Evacuated: v.Evacuated, Cold: v.Cold}
 		return m
 	})
--- a/internal/placer/publication.go
+++ b/internal/placer/publication.go
@@ -47,8 +47,8 @@
 	full *fullSnapshot
 	// watchers are the open long polls.
 	watchers map[*watcher]bool
-	// collecting is true while questions are collected before the term is published. requesters holds the nodes that
-	// asked, collectUntil is when the feed plan may be made, and planned is true once it was made.
+	// collecting is true while watch requests are collected before the term is published. requesters holds the nodes
+	// that asked, collectUntil is when the feed plan may be made, and planned is true once it was made.
 	collecting   bool
 	requesters   map[string]requester
 	collectUntil time.Time
@@ -88,7 +88,7 @@
 	p.wakeAll()
 }
 
-// end ends the publication; open questions fail with peer.ErrNotHolder.
+// end ends the publication; open watch requests fail with peer.ErrNotHolder.
 func (p *publication) end() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placer/quota.go
+++ b/internal/placer/quota.go
@@ -16,8 +16,8 @@
 	"olivetiller/io/peer"
 )
 
-// probeEvery is the interval at which a node that is partitioned from the lease holder asks it again, and so how late
-// it may notice that it can reach the holder.
+// probeEvery is the interval at which a node that is partitioned from the lease holder calls it again, and so the
+// longest delay until it notices that it can reach the holder.
 const probeEvery = 200 * time.Millisecond
 
 // forgetEvery is the interval at which idle accounts are dropped.
@@ -175,17 +175,17 @@
 // errNoHolderKnown is returned instead of a call if this node knows of no lease holder to ask.
 var errNoHolderKnown = errors.New("no lease holder is known")
 
-// askHolder asks the lease holder a question: here answers it if this node is the holder, otherwise there sends it to
-// the holder's address.
-func askHolder[Q, A any](ctx context.Context, c *Controller, q *Q, here func(*Q) (*A, error), there func(context.Context, string, *Q) (*A, error)) (*A, error) {
+// askHolder sends the request q to the lease holder: local answers it if this node is the holder, otherwise remote
+// sends it to the holder's address.
+func askHolder[Q, A any](ctx context.Context, c *Controller, q *Q, local func(*Q) (*A, error), remote func(context.Context, string, *Q) (*A, error)) (*A, error) {
 	if c.leading.Load() {
-		return here(q)
+		return local(q)
 	}
 	h := c.holderState.target()
 	if h.Holder == "" || h.Incarnation == c.o.Self.Incarnation {
 		return nil, errNoHolderKnown
 	}
-	return there(ctx, h.Address, q)
+	return remote(ctx, h.Address, q)
 }
 
 // Charge charges need, in units of the limit, to a customer. It asks the lease holder for a grant if the amount held
@@ -277,7 +277,7 @@
 	return d
 }
 
-// GiveBack refunds an amount that was charged at a time to an account, for a request that certainly has not run.
+// Refund refunds an amount that was charged at a time to an account, for a request that certainly has not run.
 func (c *Controller) Refund(name string, amount float64, charged time.Time) {
 	qs, now := &c.quotas, c.o.Clock.Now()
 	qs.mu.Lock()
--- a/internal/placer/readers.go
+++ b/internal/placer/readers.go
@@ -23,8 +23,8 @@
 	// readSlack is how much longer than the wait at the store a read may take.
 	readSlack = 700 * time.Millisecond
 	// fullReadTimeout bounds a full read. If 195 nodes lose the lease holder together and the configuration has many
-	// routes, the store's link needs seconds for all of them; with a bound that ended the reads before, each node
-	// started again, at 30,000 calls a day.
+	// routes, the store's link needs seconds for all of them; with a shorter bound, each node's read failed and began
+	// again, at 30,000 calls a day.
 	fullReadTimeout = 10 * time.Second
 	// retryPause is the first pause after a failed read. It doubles up to timing.maxRetryPause: failed calls cost as
 	// much as others, and the time in which a change must take effect runs again from seconds after the store has
--- a/internal/placer/turn.go
+++ b/internal/placer/runlock.go
@@ -36,9 +36,9 @@
 	return &peer.RunLock{AfterMs: max(1, after.Milliseconds())}, nil
 }
 
-// TakeTurn implements isolation.RunLocker: it asks the lease holder for the run lock of an isolated request. It
-// returns 0 if the lock was granted, otherwise the time after which to ask again. It also returns 0 if the lease
-// holder does not answer; each node then orders its own copies only.
+// AcquireRun implements isolation.RunLocker: it asks the lease holder for the run lock of an isolated request. It
+// returns 0 if the lock was granted, otherwise the time after which to ask again. It also returns 0 if the lease holder
+// does not answer; each node then orders its own copies only.
 func (c *Controller) AcquireRun(ctx context.Context, f quarantine.Fingerprint, run string) (after time.Duration) {
 	q := &peer.RunLockRequest{Request: f, Run: c.o.Self.Incarnation + "/" + run}
 	a, err := askHolder(ctx, c, q, c.Turn, c.o.Peers.RequestRunLock)
@@ -49,10 +49,10 @@
 	return time.Duration(a.AfterMs) * time.Millisecond
 }
 
-// ReleaseTurn implements isolation.RunLocker: it releases a run lock; well is true if an engine has answered the
+// ReleaseRun implements isolation.RunLocker: it releases a run lock; answered is true if an engine has answered the
 // request. It does not wait for the lease holder, since a lock that is not released expires.
-func (c *Controller) ReleaseRun(f quarantine.Fingerprint, run string, well bool) {
-	q := &peer.RunLockRequest{Request: f, Run: c.o.Self.Incarnation + "/" + run, Release: true, Answered: well}
+func (c *Controller) ReleaseRun(f quarantine.Fingerprint, run string, answered bool) {
+	q := &peer.RunLockRequest{Request: f, Run: c.o.Self.Incarnation + "/" + run, Release: true, Answered: answered}
 	go func() {
 		if _, err := askHolder(context.Background(), c, q, c.Turn, c.o.Peers.RequestRunLock); err != nil {
 			c.o.Logger.Debug("run lock of an isolated request not released", "fingerprint", f.String(), "error", err.Error())
--- a/internal/placer/signals.go
+++ b/internal/placer/signals.go
@@ -78,7 +78,7 @@
 
 // logSignal logs a change of an endpoint's signals that came with a report or from another node.
 func (c *Controller) logSignal(ch *signal.Change, by string) {
-	c.o.Logger.Info("endpoint says what it takes", append(ch.Fields(), "by", by)...)
+	c.o.Logger.Info("endpoint signals changed", append(ch.Fields(), "by", by)...)
 }
 
 // reportSignals adds the signals that the lease holder lacks to a report, and returns the version that they reach.
--- a/internal/placer/timing.go
+++ b/internal/placer/timing.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// timing holds the intervals and timeouts derived from the bound, the time within which the platform requires a
-// changed configuration or a draining endpoint to take effect. With these fractions of it, a bound of two seconds,
-// that of the first deployments, held over some 800 days.
+// timing holds the intervals and timeouts derived from the bound, the time within which the platform requires a changed
+// configuration or a draining endpoint to take effect.
 type timing struct {
 	// holderWait is how long the store holds a read of the lease holder open, and ownWait that of a node that reads
 	// for itself. holderWait is short, so that the relayed state is known to be fresh. Both bound how long a reader
@@ -14,7 +13,7 @@
 	// ownInstancesEvery by a node that reads for itself. Engines rewrite their entries all the time, and the list is
 	// behind by more than these intervals anyway.
 	instancesEvery, ownInstancesEvery time.Duration
-	// watchWait is how long a question of a follower is held open.
+	// watchWait is how long a follower's watch request is held open.
 	watchWait time.Duration
 	// relayTTL is how old relayed store state may be before a node reads the store itself: more than the lease
 	// holder's reads and the delays of its answers add up to, and less than the bound by the duration of a read.
@@ -28,7 +27,7 @@
 }
 
 const (
-	// defaultBound is used if the platform states none.
+	// defaultBound is used if the platform states none. It is the bound of the first deployments.
 	defaultBound = 2 * time.Second
 	// minBound and maxBound limit the bound: with a shorter one the store's rate limits would not suffice, with a
 	// longer one failures would go unnoticed.
--- a/internal/placer/watch.go
+++ b/internal/placer/watch.go
@@ -193,7 +193,7 @@
 }
 
 // Changes that are not urgent for a node are batched into one message after pushDelay, plus pushDelayPerNode for each
-// open question, so that the work of sending stays bounded.
+// open watch request, so that the work of sending stays bounded.
 const (
 	pushDelay        = 100 * time.Millisecond
 	pushDelayPerNode = 4 * time.Millisecond
@@ -237,7 +237,7 @@
 	return c.answer(ctx, &c.published, w, q)
 }
 
-// watchFeeder answers a question to this node as a feeder. A question that comes before this node has fresh state
+// watchFeeder answers a watch request to this node as a feeder. A request that comes before this node has fresh state
 // itself waits for it.
 func (c *Controller) watchFeeder(ctx context.Context, q peer.WatchRequest) (*peer.Snapshot, error) {
 	p := &c.relay
@@ -253,17 +253,17 @@
 	}
 	w := p.open(q.Node)
 	defer p.close(w)
-	if p.openQuestions() > maxFollowers {
+	if p.openRequests() > maxFollowers {
 		return nil, peer.ErrNotHolder
 	}
 	return c.answer(ctx, p, w, q)
 }
 
-// maxFollowers bounds the open questions of a feeder; nodes beyond it ask another feeder.
+// maxFollowers bounds the open watch requests of a feeder; nodes beyond it ask another feeder.
 const maxFollowers = 4 * feedtree.FanOut
 
-// openQuestions returns the number of open long polls.
-func (p *publication) openQuestions() int {
+// openRequests returns the number of open watch requests.
+func (p *publication) openRequests() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.watchers)
@@ -276,7 +276,7 @@
 	return p.incarnation != "" && now.Sub(p.holderSeenAt) <= holderTTL
 }
 
-// answer answers a question from a publication: at once if there is an urgent change, otherwise when there is a
+// answer answers a watch request from a publication: at once if there is an urgent change, otherwise when there is a
 // change or q.Wait is over.
 func (c *Controller) answer(ctx context.Context, p *publication, w *watcher, q peer.WatchRequest) (*peer.Snapshot, error) {
 	asked := c.o.Clock.Now()
@@ -290,7 +290,7 @@
 		return s, nil
 	}
 	timeout := c.o.Clock.After(q.Wait)
-	pushTimer := c.o.Clock.After(min(q.Wait, pushDelay+time.Duration(p.openQuestions())*pushDelayPerNode))
+	pushTimer := c.o.Clock.After(min(q.Wait, pushDelay+time.Duration(p.openRequests())*pushDelayPerNode))
 	for waiting := true; waiting; {
 		select {
 		case <-w.notify:
