--- a/internal/traffic/dispatcher.go
+++ b/internal/traffic/dispatcher.go
@@ -21,8 +21,8 @@
 type Hooks struct {
 	// QueueStarted is called when a request enters an empty queue.
 	QueueStarted func()
-	// ScarcePoolBusy is called when a scarce pool (at most maxScarceEndpoints endpoints) gets the only running request of this
-	// node without queueing, and when the last one ends. It may be nil.
+	// ScarcePoolBusy is called when a scarce pool (at most maxScarceEndpoints endpoints) gets the only running request
+	// of this node without queueing, and when the last one ends. It may be nil.
 	ScarcePoolBusy func()
 	// Draining is called with the name of an endpoint whose answer said that it is draining.
 	Draining func(endpoint string)
@@ -32,8 +32,8 @@
 	// returns 0 when the request may be sent, or else the time until the limit has capacity again. If it is nil, rate
 	// limits of endpoints are not enforced.
 	Charge func(ctx context.Context, e view.Endpoint, limit float64) time.Duration
-	// SignalsChanged is called when the answer to a request of this node changed the recorded signals of its endpoint. It may
-	// be nil.
+	// SignalsChanged is called when the answer to a request of this node changed the recorded signals of its endpoint.
+	// It may be nil.
 	SignalsChanged func()
 }
 
@@ -186,7 +186,7 @@
 // is released.
 func (d *Dispatcher) Switch(s *Slot, req SlotRequest) (*Slot, bool) {
 	if req.mayCrashEngine() {
-		// The endpoint may be silent because this request terminated its engine.
+		// The endpoint may be silent because this request crashed its engine.
 		return nil, false
 	}
 	now := d.clock.Now()
@@ -214,9 +214,9 @@
 // scarce reports whether the pool has at most maxScarceEndpoints endpoints.
 func (p *pool) scarce() bool { return len(p.endpoints) <= maxScarceEndpoints }
 
-// notifyScarce calls Hooks.ScarcePoolBusy if the work of a scarce pool began or ended. With periodic reports alone, a second
-// apart, 21 of 100 unloads hit models that had requests by then; the engine finished those first, for 1.5 s or more,
-// and refused its next order meanwhile (124 engines, 195 nodes).
+// notifyScarce calls Hooks.ScarcePoolBusy if the work of a scarce pool began or ended. With periodic reports alone, a
+// second apart, 21 of 100 unloads hit models that had requests by then; the engine finished those first, for 1.5 s or
+// more, and refused its next order meanwhile (124 engines, 195 nodes).
 func (d *Dispatcher) notifyScarce(changed bool) {
 	if changed && d.hooks.ScarcePoolBusy != nil {
 		d.hooks.ScarcePoolBusy()
--- a/internal/traffic/dispatcher_test.go
+++ b/internal/traffic/dispatcher_test.go
@@ -283,8 +283,8 @@
 	}
 }
 
-// TestScarceWorkIsReported checks that Hooks.ScarcePoolBusy is called when the work of a pool with few endpoints begins and
-// ends, but not for one with many. Without it, a model with a running request may be unloaded on the strength of a
+// TestScarceWorkIsReported checks that Hooks.ScarcePoolBusy is called when the work of a pool with few endpoints begins
+// and ends, but not for one with many. Without it, a model with a running request may be unloaded on the strength of a
 // report that is a second old.
 func TestScarceWorkIsReported(t *testing.T) {
 	tests := []struct {
@@ -319,7 +319,7 @@
 				s.Release(Result{Running: -1})
 			}
 			if calls != tt.want {
-				t.Errorf("Hooks.Rare was called %d times, want %d", calls, tt.want)
+				t.Errorf("Hooks.ScarcePoolBusy was called %d times, want %d", calls, tt.want)
 			}
 		})
 	}
--- a/internal/traffic/endpoint_state.go
+++ b/internal/traffic/endpoint_state.go
@@ -17,7 +17,7 @@
 	running int
 	// prompts is the total length, in tokens, of this node's prompts that the endpoint has not read yet.
 	prompts int
-	// suspectRequests counts this node's requests at the endpoint that may terminate its engine.
+	// suspectRequests counts this node's requests at the endpoint that may crash its engine.
 	suspectRequests int
 	// window bounds this node's concurrent requests at the endpoint.
 	window *choose.Window
@@ -63,8 +63,8 @@
 		ep.window.Refused(now)
 	case r.NotStarted:
 	case r.Ended:
-		// One of the requests that ran there may have terminated the process, and all of them fail at once, so
-		// however many fail, it counts as one failure of the endpoint.
+		// One of the requests that ran there may have crashed the process, and all of them fail at once, so however
+		// many fail, it counts as one failure of the endpoint.
 		ep.health.ProcessEnded(now)
 	case r.Silent:
 		ep.health.Unresponsive(now)
--- a/internal/traffic/pool.go
+++ b/internal/traffic/pool.go
@@ -159,23 +159,23 @@
 
 // update replaces the pool's endpoints with those of a view. When the first endpoint appears, the time since
 // coldSince is recorded as a load time.
-func (p *pool) update(v *view.View, places []candidate, now time.Time) {
-	if len(p.endpoints) == 0 && len(places) > 0 && !p.coldSince.IsZero() {
+func (p *pool) update(v *view.View, candidates []candidate, now time.Time) {
+	if len(p.endpoints) == 0 && len(candidates) > 0 && !p.coldSince.IsZero() {
 		p.model.Load.Observe(now.Sub(p.coldSince))
 	}
-	if len(places) > 0 || p.queue.Len() == 0 {
+	if len(candidates) > 0 || p.queue.Len() == 0 {
 		p.coldSince = time.Time{}
 	}
 	for _, cand := range p.endpoints {
 		delete(cand.endpointState.pools, p)
 	}
-	p.endpoints = places
-	for _, cand := range places {
+	p.endpoints = candidates
+	for _, cand := range candidates {
 		cand.endpointState.pools[p] = true
 	}
 	p.loadingSince = v.LoadingSince[p.basePool]
 	p.readyAt = v.ReadyAt[p.basePool]
-	p.outsideRegions = len(places) == 0 && !p.regions.All() && len(v.Pool(p.basePool)) > 0
+	p.outsideRegions = len(candidates) == 0 && !p.regions.All() && len(v.Pool(p.basePool)) > 0
 }
 
 // remove removes an endpoint at once, without waiting for a view without it.
--- a/internal/traffic/signals.go
+++ b/internal/traffic/signals.go
@@ -65,8 +65,8 @@
 	return signal.Incarnation{Endpoint: e.Name, Start: e.Start}
 }
 
-// ObserveSignals records the signals s in the answer of endpoint e to a request sent at the given time. It returns what they
-// changed, and calls Hooks.SignalsChanged if they changed anything.
+// ObserveSignals records the signals s in the answer of endpoint e to a request sent at the given time. It returns what
+// they changed, and calls Hooks.SignalsChanged if they changed anything.
 func (d *Dispatcher) ObserveSignals(e view.Endpoint, s signal.Signals, sent time.Time) signal.Change {
 	c := d.recordSignals(incarnationOf(&e), s, sent)
 	if c.Changed() && d.hooks.SignalsChanged != nil {
@@ -75,7 +75,7 @@
 	return c
 }
 
-// recordSignals is Hear without the hook. It puts the changed signals in force.
+// recordSignals is ObserveSignals without the hook. It puts the changed signals in force.
 func (d *Dispatcher) recordSignals(l signal.Incarnation, s signal.Signals, sent time.Time) signal.Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,21 +103,21 @@
 }
 
 // SignalsSince returns the signals that changed after the given version, for other nodes, and the current version.
-func (d *Dispatcher) SignalsSince(version uint64) (words []signal.Report, to uint64) {
+func (d *Dispatcher) SignalsSince(version uint64) (reports []signal.Report, to uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.signals.Since(version), d.signals.Version()
 }
 
 // MergeSignals merges signals that other nodes received and puts them in force. It returns what changed here.
-func (d *Dispatcher) MergeSignals(words []signal.Report) []signal.Change {
+func (d *Dispatcher) MergeSignals(reports []signal.Report) []signal.Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
 	var out []signal.Change
-	for _, w := range words {
-		if c := d.signals.Merge(w, now); c.Changed() {
-			d.applySignals(w.Incarnation, now)
+	for _, r := range reports {
+		if c := d.signals.Merge(r, now); c.Changed() {
+			d.applySignals(r.Incarnation, now)
 			out = append(out, c)
 		}
 	}
@@ -153,12 +153,12 @@
 	if d.hooks.Charge == nil {
 		return 0
 	}
-	named := d.signals.Limit(ep.incarnationID)
+	reported := d.signals.Limit(ep.incarnationID)
 	switch {
 	case !now.Before(ep.coldUntil) || ep.coldRate <= 0:
-		return named
-	case named > 0:
-		return min(named, ep.coldRate)
+		return reported
+	case reported > 0:
+		return min(reported, ep.coldRate)
 	}
 	return ep.coldRate
 }
@@ -244,7 +244,7 @@
 
 // Error implements error.
 func (e *WithheldError) Error() string {
-	return "the endpoint has spoken since the request got its place: " + e.By
+	return "the endpoint's state changed after the request got its slot: " + e.By
 }
 
 // CheckSend returns a *WithheldError if the request of a slot must not be sent any more, or nil. It is called right
@@ -274,7 +274,7 @@
 // availableAt returns when a request with ahead others in front of it can get a slot, if every endpoint of the pool
 // has a rate limit or is unavailable now. ok is false if some endpoint is neither, or the pool has no endpoints.
 func (p *pool) availableAt(ahead int, now time.Time) (at time.Time, ok bool) {
-	perSecond, unbound := 0.0, false
+	perSecond, unlimited := 0.0, false
 	for i, cand := range p.endpoints {
 		ep := cand.endpointState
 		available := ep.unavailableUntil()
@@ -285,7 +285,7 @@
 			at = available
 		}
 		if ep.interval == 0 {
-			unbound = true
+			unlimited = true
 			continue
 		}
 		perSecond += 1 / ep.interval.Seconds()
@@ -293,7 +293,7 @@
 	if at.Before(now) {
 		at = now
 	}
-	if !unbound && perSecond > 0 {
+	if !unlimited && perSecond > 0 {
 		at = at.Add(time.Duration(float64(ahead) / perSecond * float64(time.Second)))
 	}
 	return at, len(p.endpoints) > 0
--- a/internal/traffic/signals_test.go
+++ b/internal/traffic/signals_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestLimitedPoolRefusesLateRequests checks that a request is refused at once if the rate limit has capacity for it only
-// after its caller gives up, and that other requests wait.
+// TestLimitedPoolRefusesLateRequests checks that a request is refused at once if the rate limit has capacity for it
+// only after its caller gives up, and that other requests wait.
 func TestLimitedPoolRefusesLateRequests(t *testing.T) {
 	s := newLimitedPoolSetup("i-1")
 	s.setLimit("i-1", 1)
--- a/internal/traffic/slot.go
+++ b/internal/traffic/slot.go
@@ -19,8 +19,8 @@
 	Cost float64
 	// Avoid names the endpoints at which earlier attempts failed. They are picked last.
 	Avoid []string
-	// RequestFingerprint identifies the request, and State is its quarantine state. Requests that may terminate
-	// engines are spread over different endpoints.
+	// RequestFingerprint identifies the request, and State is its quarantine state. Requests that may crash engines are
+	// spread over different endpoints.
 	RequestFingerprint quarantine.Fingerprint
 	State              quarantine.State
 	// Retry marks a further attempt that the retry budget must allow.
@@ -43,7 +43,7 @@
 	Prompt int
 }
 
-// mayCrashEngine reports whether the request is suspected to terminate the engines that run it.
+// mayCrashEngine reports whether the request is suspected of crashing the engines that run it.
 func (req *SlotRequest) mayCrashEngine() bool {
 	return req.State == quarantine.Suspected || req.State == quarantine.Isolated || req.State == quarantine.OnTrial
 }
@@ -57,8 +57,8 @@
 	return req.Deadline
 }
 
-// waitDeadline returns when the request stops waiting. A caller that has given up should be refused by then, as a
-// longer wait would only keep it from asking again.
+// waitDeadline returns when the request stops waiting. The caller should be refused by the time it gives up, as a
+// longer wait would only delay its next attempt.
 func (req *SlotRequest) waitDeadline() time.Time {
 	if !req.AbandonAt.IsZero() && req.AbandonAt.Before(req.Deadline) {
 		return req.AbandonAt
@@ -99,11 +99,11 @@
 	Full bool
 	// NotStarted is true when the endpoint did not start the request, but is healthy.
 	NotStarted bool
-	// Ended is true when the endpoint's process has terminated.
+	// Ended is true when the endpoint's process has crashed.
 	Ended bool
 	// Silent is true when the endpoint could not be reached or sent nothing in time.
 	Silent bool
-	// ModelMissing is true when the engine does not hold the model of the request.
+	// Missing is true when the engine does not hold the model of the request.
 	Missing bool
 	// Running is the load that the endpoint reported, in running requests; negative if it reported none.
 	Running int
--- a/internal/traffic/usage.go
+++ b/internal/traffic/usage.go
@@ -23,7 +23,7 @@
 
 // Totals sums up the state of all pools of this node, for the status page.
 type Totals struct {
-	// QueueStarted and Running count requests. WaitingBytes is the memory that the waiting ones hold.
+	// Waiting and Running count requests. WaitingBytes is the memory that the waiting ones hold.
 	Waiting      int   `json:"waiting"`
 	Running      int   `json:"running"`
 	WaitingBytes int64 `json:"waitingBytes"`
@@ -32,7 +32,7 @@
 	RetryReserve float64 `json:"retryReserve"`
 	// Limited holds the rate limits that endpoints reported, in requests a second by name.
 	Limited map[string]float64 `json:"limitedEndpoints"`
-	// Draining names the draining endpoints. Resting holds the time left, in milliseconds by name, of the backoffs
+	// Draining names the draining endpoints. Backoffs holds the time left, in milliseconds by name, of the backoffs
 	// that endpoints asked of this node.
 	Draining []string         `json:"leavingEndpoints"`
 	Backoffs map[string]int64 `json:"restingEndpoints"`
@@ -61,7 +61,7 @@
 // Usage is a pool's demand in the form that model placement needs.
 type Usage struct {
 	Pool string
-	// QueueStarted counts queued requests, and Arrivals first attempts since the last call.
+	// Waiting counts queued requests, and Arrivals first attempts since the last call.
 	Waiting  int
 	Arrivals int
 	// SentAway counts the requests refused with a retry hint since the last call.
--- a/internal/traffic/wait.go
+++ b/internal/traffic/wait.go
@@ -122,7 +122,7 @@
 
 // refuseUnservable refuses the queued requests that checkDeadline rejects now.
 func (p *pool) refuseUnservable(now time.Time) {
-	if _, bound := p.availableAt(0, now); !bound && (len(p.endpoints) > 0 || p.readyAt.IsZero()) {
+	if _, limited := p.availableAt(0, now); !limited && (len(p.endpoints) > 0 || p.readyAt.IsZero()) {
 		return
 	}
 	items := p.queue.Items()
@@ -143,13 +143,13 @@
 
 // requestsAhead returns how many queued requests have a queue deadline no later than the given one. It returns 0 if
 // rate limits and backoffs do not decide when a request gets a slot.
-func (p *pool) requestsAhead(urgent, now time.Time) int {
-	if _, bound := p.availableAt(0, now); !bound {
+func (p *pool) requestsAhead(queueDeadline, now time.Time) int {
+	if _, limited := p.availableAt(0, now); !limited {
 		return 0
 	}
 	n := 0
 	for _, it := range p.queue.Items() {
-		if !it.Deadline.After(urgent) {
+		if !it.Deadline.After(queueDeadline) {
 			n++
 		}
 	}
