--- a/core/refusal/refusal.go
+++ b/core/refusal/refusal.go
@@ -41,7 +41,8 @@
 	ModelBanned Kind = "modelBanned"
 	// DeadlinePast means that the timeout that the caller sent is not positive.
 	DeadlinePast Kind = "deadlinePast"
-	// CannotMakeDeadline means that no endpoint can serve the request before its deadline or before its caller gives up.
+	// CannotMakeDeadline means that no endpoint can serve the request before its deadline or before its caller gives
+	// up.
 	CannotMakeDeadline Kind = "cannotMakeDeadline"
 	// QueueFull means that this node holds too many waiting requests or too many bytes of bodies.
 	QueueFull Kind = "queueFull"
--- a/io/caller/attempts.go
+++ b/io/caller/attempts.go
@@ -13,18 +13,18 @@
 	"olivetiller/io/endpoint"
 )
 
-// try sends the request to the endpoint of slot, which was acquired with req, and reports to run when the endpoint
-// starts and how it answers. The result goes back to the dispatcher when the slot is released.
-type try func(ctx context.Context, slot *traffic.Slot, req traffic.SlotRequest, run *isolation.Run) (traffic.Result, error)
+// attemptFunc sends the request to the endpoint of slot, which was acquired with req, and reports to run when the
+// endpoint starts and how it answers. The result goes back to the dispatcher when the slot is released.
+type attemptFunc func(ctx context.Context, slot *traffic.Slot, req traffic.SlotRequest, run *isolation.Run) (traffic.Result, error)
 
-// tries counts the attempts of a request.
-type tries struct {
+// attemptCounts counts the attempts of a request.
+type attemptCounts struct {
 	// sent counts all attempts, ran those that may have run at an endpoint.
 	sent, ran int
 }
 
 // attempts calls do with one slot after another until an endpoint answers or no further attempt is allowed.
-func (s *Server) attempts(ctx context.Context, x *Exchange, do try) error {
+func (s *Server) attempts(ctx context.Context, x *Exchange, do attemptFunc) error {
 	req := newSlotRequest(x)
 	defer x.releaseReserved()
 	defer func() {
@@ -33,7 +33,7 @@
 			s.Isolation.EndTrial(x.Fingerprint)
 		}
 	}()
-	var n tries
+	var n attemptCounts
 	for {
 		slot, unlock, err := s.nextSlot(ctx, x, &req)
 		if err != nil {
@@ -119,8 +119,8 @@
 	return slot, unlock, nil
 }
 
-// reportRun reports to run how its attempt ended. It returns true if the endpoint's process terminated with it.
-func reportRun(ctx context.Context, run *isolation.Run, err error) (ended bool) {
+// reportRun reports to run how its attempt ended. It returns true if the endpoint's process crashed with it.
+func reportRun(ctx context.Context, run *isolation.Run, err error) (crashed bool) {
 	var e *endpoint.Error
 	switch {
 	case err == nil:
--- a/io/caller/dispatch.go
+++ b/io/caller/dispatch.go
@@ -183,13 +183,13 @@
 )
 
 // checkSend returns why a request that was built at the given time must not be written any more, or nil. The machine
-// may have slept between the decision to send it and the write.
-func (s *Server) checkSend(x *Exchange, made time.Time) error {
+// may have been suspended between the decision to send it and the write.
+func (s *Server) checkSend(x *Exchange, builtAt time.Time) error {
 	now := s.Clock.Now()
 	switch {
 	case now.After(x.Deadline):
 		return errDeadlinePassed
-	case now.Sub(made) > maxRequestAge:
+	case now.Sub(builtAt) > maxRequestAge:
 		return errStaleTimeout
 	case x.trial:
 		return nil
--- a/io/caller/listener.go
+++ b/io/caller/listener.go
@@ -43,7 +43,7 @@
 	return l.Listener.Close()
 }
 
-// limitedConn releases its place in the listener when it is closed.
+// limitedConn releases its slot in the listener when it is closed.
 type limitedConn struct {
 	net.Conn
 	once    sync.Once
--- a/io/caller/send.go
+++ b/io/caller/send.go
@@ -26,8 +26,8 @@
 }
 
 // recordSignals records the signals in an answer and logs what they change. sent is when the request was sent.
-func (s *Server) recordSignals(x *Exchange, slot *traffic.Slot, said signal.Signals, sent time.Time) {
-	c := s.Dispatcher.ObserveSignals(slot.Endpoint, said, sent)
+func (s *Server) recordSignals(x *Exchange, slot *traffic.Slot, signals signal.Signals, sent time.Time) {
+	c := s.Dispatcher.ObserveSignals(slot.Endpoint, signals, sent)
 	for _, d := range c.Malformed {
 		s.Metrics.DamagedSignals.Add(1)
 		s.Logger.Warn("ignored an invalid endpoint signal", "endpoint", slot.Endpoint.Name, "born", slot.Endpoint.Start, "requestId", x.ID, "error", d.Error())
@@ -36,5 +36,5 @@
 		return
 	}
 	s.Metrics.Signals.Add(1)
-	s.Logger.Info("endpoint says what it takes", append(c.Fields(), "requestId", x.ID)...)
+	s.Logger.Info("endpoint signals changed", append(c.Fields(), "requestId", x.ID)...)
 }
--- a/io/endpoint/check.go
+++ b/io/endpoint/check.go
@@ -10,7 +10,7 @@
 
 // Check decides right before a request is written whether it may still be sent, and returns the reason if not.
 // Conditions that held when the request was built may have changed since, because connecting took long or the machine
-// slept.
+// was suspended.
 type Check func() error
 
 // WithheldError is the error of a request of which nothing was written because its check failed.
@@ -33,17 +33,17 @@
 	net.Conn
 	mu    sync.Mutex
 	check Check
-	// onForbidden is called with the error when the check fails.
-	onForbidden func(error)
+	// onCheckFailed is called with the error when the check fails.
+	onCheckFailed func(error)
 	// wrote is set once part of the request was written.
 	wrote bool
 }
 
 // setCheck sets the check for the next request; nil for none.
-func (c *checkedConn) setCheck(check Check, onForbidden func(error)) {
+func (c *checkedConn) setCheck(check Check, onCheckFailed func(error)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.check, c.onForbidden, c.wrote = check, onForbidden, false
+	c.check, c.onCheckFailed, c.wrote = check, onCheckFailed, false
 }
 
 // Write implements net.Conn. If the check fails it returns the check's error, as a *WithheldError if nothing of the
@@ -56,7 +56,7 @@
 			if !c.wrote {
 				err = &WithheldError{err}
 			}
-			c.onForbidden(err)
+			c.onCheckFailed(err)
 			return 0, err
 		}
 	}
--- a/io/endpoint/check_test.go
+++ b/io/endpoint/check_test.go
@@ -18,7 +18,7 @@
 )
 
 // TestWithheld checks that a request whose check fails is not written, on a new as on a reused connection, and is not
-// tried on another one. Without the check, a machine that slept between the decision and the write would send
+// tried on another one. Without the check, a machine that was suspended between the decision and the write would send
 // requests that are no longer allowed.
 func TestWithheld(t *testing.T) {
 	var arrivals atomic.Int64
--- a/io/endpoint/endpoint.go
+++ b/io/endpoint/endpoint.go
@@ -65,7 +65,7 @@
 	Check Check
 }
 
-// Error is a request that got no answer, or none that counts as one.
+// Error is the failure of a request that got no complete answer, or one that counts as a failure.
 type Error struct {
 	// Outcome says whether the request may have run.
 	Outcome retry.Outcome
@@ -140,7 +140,7 @@
 type ResponseInfo struct {
 	// NotStarted is true when the endpoint says that it did not start the request.
 	NotStarted bool
-	// Full, Missing and Gone are as in Error.
+	// Full, Missing and Replaced are as in Error.
 	Full, Missing, Replaced bool
 	// Mismatched is true when the answer belongs to another request.
 	Mismatched bool
@@ -153,7 +153,7 @@
 	Said signal.Signals
 }
 
-// Judge reads a Verdict from the head of the answer to r.
+// Judge reads a ResponseInfo from the head of the answer to r.
 type Judge func(r *Request, resp *http.Response) ResponseInfo
 
 // Options configure a Client.
@@ -164,8 +164,8 @@
 	Dialer *net.Dialer
 }
 
-// CloseIdleConnections closes the idle connections in the pool. After the machine has slept, the other sides may have
-// dropped them.
+// CloseIdleConnections closes the idle connections in the pool. After the machine was suspended, the other sides may
+// have dropped them.
 func (c *Client) CloseIdleConnections() { c.pooled.CloseIdleConnections() }
 
 // Client sends requests to endpoints. It is safe for concurrent use.
@@ -322,7 +322,7 @@
 		resp.Body.Close()
 		return nil, &Error{
 			Outcome: retry.NotSent, Refused: true, Full: v.Full, Missing: v.Missing, Replaced: v.Replaced, Said: v.Said,
-			Cause: eris.Errorf("the endpoint did not begin (%d): %s", resp.StatusCode, bytes.TrimSpace(text)),
+			Cause: eris.Errorf("the endpoint did not start the request (%d): %s", resp.StatusCode, bytes.TrimSpace(text)),
 		}
 	}
 	return &Response{Response: resp, Running: v.Running, Draining: v.Draining, Said: v.Said}, nil
