--- a/core/refusal/refusal.go
+++ b/core/refusal/refusal.go
@@ -50,7 +50,7 @@
 	RateExceeded Kind = "rateExceeded"
 	// TooManyRequests means that the caller has too many concurrent requests at this node.
 	TooManyRequests Kind = "tooManyRequests"
-	// WaitedTooLong means that no endpoint had room before the request's wait ended.
+	// WaitedTooLong means that no endpoint had a free slot before the request's wait ended.
 	WaitedTooLong Kind = "waitedTooLong"
 	// NoEndpoint means that no endpoint may serve the request or started it, or the retry budget is used up.
 	NoEndpoint Kind = "noEndpoint"
--- a/internal/placer/feeding_test.go
+++ b/internal/placer/feeding_test.go
@@ -161,10 +161,10 @@
 	return s
 }
 
-// fetch has f ask a publication. The answer takes a time to arrive, or is lost.
-func (s *feedSite) fetch(f *feedFollower, from *publication, way time.Duration, lost bool) {
+// fetch sends a watch request of f to a publication. The answer takes transit to arrive, or is lost.
+func (s *feedSite) fetch(f *feedFollower, from *publication, transit time.Duration, lost bool) {
 	snap, _, ok := from.snapshot(peer.WatchRequest{Node: "f", Life: f.incarnation, Version: f.version}, s.now)
-	s.now = s.now.Add(way)
+	s.now = s.now.Add(transit)
 	if !ok || lost {
 		return
 	}
@@ -181,8 +181,8 @@
 	for _, r := range snap.Instances {
 		f.list.Apply(r, s.now)
 	}
-	f.holderSeenAt = s.now.Add(-way - time.Duration(snap.HolderAgeMs)*time.Millisecond)
-	f.asOf = s.now.Add(-way - time.Duration(snap.AgeMs)*time.Millisecond)
+	f.holderSeenAt = s.now.Add(-transit - time.Duration(snap.HolderAgeMs)*time.Millisecond)
+	f.asOf = s.now.Add(-transit - time.Duration(snap.AgeMs)*time.Millisecond)
 	if !f.relay.mirrors(snap.Term) || snap.Full {
 		f.relay.mirrorAll(snap, f.serving, f.list.Records(s.now), snap.DirectoryVersion)
 	} else {
@@ -238,7 +238,7 @@
 func TestLeafMatchesHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newFeedSite()
-		way := rapid.Map(rapid.IntRange(0, 300), func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond })
+		transit := rapid.Map(rapid.IntRange(0, 300), func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond })
 		terms := 1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			f := s.feeders[rapid.IntRange(0, 1).Draw(t, "feeder")]
@@ -246,11 +246,11 @@
 			case 0, 1:
 				s.change(t)
 			case 2:
-				s.fetch(f, &s.holder, way.Draw(t, "way"), rapid.Bool().Draw(t, "lost"))
+				s.fetch(f, &s.holder, transit.Draw(t, "way"), rapid.Bool().Draw(t, "lost"))
 			case 3:
-				s.fetch(s.leaf, &f.relay, way.Draw(t, "way"), rapid.Bool().Draw(t, "lost"))
+				s.fetch(s.leaf, &f.relay, transit.Draw(t, "way"), rapid.Bool().Draw(t, "lost"))
 			case 4:
-				s.fetch(s.leaf, &s.holder, way.Draw(t, "way"), false)
+				s.fetch(s.leaf, &s.holder, transit.Draw(t, "way"), false)
 			case 5:
 				terms++
 				list := slices.Collect(maps.Values(s.records))
--- a/internal/placer/halls_test.go
+++ b/internal/placer/halls_test.go
@@ -47,11 +47,11 @@
 	return out
 }
 
-func operatorPage(era, next uint64, of ...logstore.Evacuation) logstore.Page[logstore.Config] {
+func operatorPage(era, next uint64, evacuations ...logstore.Evacuation) logstore.Page[logstore.Config] {
 	begin := position.Begin(era)
 	page := logstore.Page[logstore.Config]{Next: begin + next, End: begin + next}
-	for i := range of {
-		page.Records = append(page.Records, logstore.Record[logstore.Config]{Offset: begin + next - uint64(len(of)-i), Value: logstore.Config{Evacuation: &of[i]}})
+	for i := range evacuations {
+		page.Records = append(page.Records, logstore.Record[logstore.Config]{Offset: begin + next - uint64(len(evacuations)-i), Value: logstore.Config{Evacuation: &evacuations[i]}})
 	}
 	return page
 }
--- a/internal/placer/publication.go
+++ b/internal/placer/publication.go
@@ -237,10 +237,10 @@
 	p.raiseVersion(&p.signalsVersion, version)
 }
 
-// raiseVersion advances *of to version and wakes all followers. The caller holds p.mu.
-func (p *publication) raiseVersion(of *uint64, version uint64) {
-	if version > *of && p.incarnation != "" {
-		*of = version
+// raiseVersion advances *current to version and wakes all followers. The caller holds p.mu.
+func (p *publication) raiseVersion(current *uint64, version uint64) {
+	if version > *current && p.incarnation != "" {
+		*current = version
 		p.wakeAll()
 	}
 }
--- a/internal/placer/quota.go
+++ b/internal/placer/quota.go
@@ -190,11 +190,11 @@
 
 // Charge charges need, in units of the limit, to a customer. It asks the lease holder for a grant if the amount held
 // by this node does not suffice. The decision says whether the request may pass, and otherwise when to retry.
-func (c *Controller) Charge(ctx context.Context, of *customer.Customer, need float64) quota.Decision {
-	if !of.Limit.Limited() {
+func (c *Controller) Charge(ctx context.Context, to *customer.Customer, need float64) quota.Decision {
+	if !to.Limit.Limited() {
 		return quota.Decision{}
 	}
-	return c.charge(ctx, of.Name, c.quotas.tolerance.Bound(of.Limit), need, peer.GrantRequest{Customer: of.Name})
+	return c.charge(ctx, to.Name, c.quotas.tolerance.Bound(to.Limit), need, peer.GrantRequest{Customer: to.Name})
 }
 
 // ChargeEndpoint charges one request to an endpoint that accepts a limited rate, because it reported a capacity or
@@ -244,11 +244,11 @@
 
 // charge charges need to an account under a bound, from the amount held by this node or by a grant that it asks the
 // lease holder for with q.
-func (c *Controller) charge(ctx context.Context, account string, of quota.Bound, need float64, q peer.GrantRequest) quota.Decision {
+func (c *Controller) charge(ctx context.Context, account string, bound quota.Bound, need float64, q peer.GrantRequest) quota.Decision {
 	qs := &c.quotas
 	sent := c.o.Clock.Now()
 	qs.mu.Lock()
-	d := qs.allowance.TakeBound(account, of, need, sent)
+	d := qs.allowance.TakeBound(account, bound, need, sent)
 	q.Node, q.Partitioned, q.Need, q.Prefetch = c.o.Self.Holder, qs.allowance.Partitioned(), need, d.Prefetch
 	qs.mu.Unlock()
 	if d.Step != quota.NeedsGrant {
@@ -260,7 +260,7 @@
 	now := c.o.Clock.Now()
 	switch {
 	case !ok:
-		d = qs.allowance.TakeBound(account, of, need, now)
+		d = qs.allowance.TakeBound(account, bound, need, now)
 	case a.Unknown:
 		// This node and the lease holder have different configurations, one of which is about to change.
 		d = quota.Decision{Step: quota.ShareUnknown, RetryAfter: probeEvery}
--- a/internal/placer/runlock.go
+++ b/internal/placer/runlock.go
@@ -38,7 +38,7 @@
 
 // AcquireRun implements isolation.RunLocker: it asks the lease holder for the run lock of an isolated request. It
 // returns 0 if the lock was granted, otherwise the time after which to ask again. It also returns 0 if the lease holder
-// does not answer; each node then orders its own copies only.
+// does not answer; each node then serializes its own copies only.
 func (c *Controller) AcquireRun(ctx context.Context, f quarantine.Fingerprint, run string) (after time.Duration) {
 	q := &peer.RunLockRequest{Request: f, Run: c.o.Self.Incarnation + "/" + run}
 	a, err := askHolder(ctx, c, q, c.Turn, c.o.Peers.RequestRunLock)
--- a/internal/traffic/dispatcher.go
+++ b/internal/traffic/dispatcher.go
@@ -24,7 +24,7 @@
 	// ScarcePoolBusy is called when a scarce pool (at most maxScarceEndpoints endpoints) gets the only running request
 	// of this node without queueing, and when the last one ends. It may be nil.
 	ScarcePoolBusy func()
-	// Draining is called with the name of an endpoint whose answer said that it is draining.
+	// Draining is called with the name of an endpoint whose answer reported that it is draining.
 	Draining func(endpoint string)
 	// ModelMissing is called when an engine answers that it does not hold the model of the pool. It may be nil.
 	ModelMissing func(endpoint, pool string)
@@ -207,8 +207,8 @@
 	return d.slot(p, cand, &req, now, now, false), true
 }
 
-// maxScarceEndpoints is the largest number of endpoints of a scarce pool. The start and end of a scarce pool's work
-// are reported at once, because which of its replicas are busy decides which model is unloaded to make room.
+// maxScarceEndpoints is the largest number of endpoints of a scarce pool. The start and end of a scarce pool's work are
+// reported at once, because which of its replicas are busy decides which model is unloaded to free capacity.
 const maxScarceEndpoints = 2
 
 // scarce reports whether the pool has at most maxScarceEndpoints endpoints.
@@ -316,7 +316,7 @@
 	}
 }
 
-// pump grants slots to a pool's queued requests until none is queued or no endpoint has room.
+// pump grants slots to a pool's queued requests until none is queued or no endpoint has a free slot.
 func (d *Dispatcher) pump(p *pool, now time.Time) {
 	for p.queue.Len() > 0 && d.grantNext(p, now) {
 		continue
@@ -324,7 +324,7 @@
 }
 
 // grantNext grants a slot to the next request in a pool's queue, which must not be empty. It returns false if no
-// endpoint has room, after scheduling a pump for when one becomes available.
+// endpoint has a free slot, after scheduling a pump for when one becomes available.
 func (d *Dispatcher) grantNext(p *pool, now time.Time) bool {
 	w := p.queue.Peek().Value.(*waiter)
 	cand, ok := p.pick(now, d.hall, &w.request)
--- a/internal/traffic/pool.go
+++ b/internal/traffic/pool.go
@@ -61,8 +61,8 @@
 	limit float64
 }
 
-// admit refuses a request that cannot meet its deadline, or a retry for which the budget has no room. For an admitted
-// retry it reserves a place in the budget, which finishRetry settles.
+// admit refuses a request that cannot meet its deadline, or a retry for which the budget has nothing left. An admitted
+// retry is reserved in the budget, which finishRetry settles.
 func (p *pool) admit(req SlotRequest, budget *retry.Budget, now time.Time) error {
 	if req.Resend {
 		return nil
@@ -104,8 +104,8 @@
 	return now.Sub(p.loadingSince)
 }
 
-// pick chooses an endpoint with room for the request. ok is false if there is none. hall is the data hall of this
-// node.
+// pick chooses an endpoint with a free slot for the request. ok is false if there is none. hall is the data hall of
+// this node.
 func (p *pool) pick(now time.Time, hall string, req *SlotRequest) (candidate, bool) {
 	n := len(p.endpoints)
 	if n == 0 {
--- a/internal/traffic/signals.go
+++ b/internal/traffic/signals.go
@@ -228,7 +228,7 @@
 	}
 }
 
-// DrainingEndpoints returns the incarnations that have said that they are draining.
+// DrainingEndpoints returns the incarnations that have reported that they are draining.
 func (d *Dispatcher) DrainingEndpoints() []signal.Incarnation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/traffic/signals_property_test.go
+++ b/internal/traffic/signals_property_test.go
@@ -28,9 +28,9 @@
 // simulation is a node whose endpoints send random signals while views change.
 type simulation struct {
 	*Dispatcher
-	clock   *clockwork.FakeClock
-	hasRoom bool
-	said    map[signal.Incarnation]*reported
+	clock       *clockwork.FakeClock
+	hasCapacity bool
+	reports     map[signal.Incarnation]*reported
 	// published are the endpoints of the current view, and unsent the granted slots whose requests were not sent yet.
 	published []view.Endpoint
 	unsent    []*Slot
@@ -41,11 +41,11 @@
 }
 
 func newSimulation() *simulation {
-	p := &simulation{clock: clockwork.NewFakeClock(), said: make(map[signal.Incarnation]*reported), checksSend: true, hasRoom: true}
+	p := &simulation{clock: clockwork.NewFakeClock(), reports: make(map[signal.Incarnation]*reported), checksSend: true, hasCapacity: true}
 	p.Dispatcher = New(p.clock, "h", queue.Limits{Items: 10, Bytes: 1000}, Hooks{
 		QueueStarted: func() {}, Draining: func(string) {},
 		Charge: func(context.Context, view.Endpoint, float64) time.Duration {
-			if p.hasRoom {
+			if p.hasCapacity {
 				return 0
 			}
 			return time.Second
@@ -55,10 +55,10 @@
 }
 
 func (p *simulation) reportOf(l signal.Incarnation) *reported {
-	if p.said[l] == nil {
-		p.said[l] = &reported{}
+	if p.reports[l] == nil {
+		p.reports[l] = &reported{}
 	}
-	return p.said[l]
+	return p.reports[l]
 }
 
 // publish installs a view with a random subset of the endpoints, each in one of its incarnations.
@@ -66,7 +66,7 @@
 	p.published = nil
 	for _, name := range []string{"i-1", "i-2"} {
 		start := int64(rapid.IntRange(0, 3).Draw(t, "start"))
-		for l := range p.said {
+		for l := range p.reports {
 			if l.Endpoint == name {
 				// A view never goes back to an earlier incarnation.
 				start = max(start, l.Start)
@@ -95,25 +95,25 @@
 		return
 	}
 	o, now := p.reportOf(incarnationOf(&e)), p.clock.Now()
-	said := signal.Signals{Ran: true}
+	signals := signal.Signals{Ran: true}
 	switch rapid.IntRange(0, 4).Draw(t, "what") {
 	case 0:
-		said.Draining, o.draining = true, true
+		signals.Draining, o.draining = true, true
 	case 1:
-		said.Backoff, said.Ran = time.Duration(rapid.IntRange(1, 4000).Draw(t, "restMs"))*time.Millisecond, false
-		if until := now.Add(said.Backoff); until.After(o.backoffUntil) {
+		signals.Backoff, signals.Ran = time.Duration(rapid.IntRange(1, 4000).Draw(t, "restMs"))*time.Millisecond, false
+		if until := now.Add(signals.Backoff); until.After(o.backoffUntil) {
 			o.backoffUntil = until
 		}
 	case 2:
-		said.Limit = float64(rapid.IntRange(1, 9).Draw(t, "limit"))
-		o.limit = said.Limit
+		signals.Limit = float64(rapid.IntRange(1, 9).Draw(t, "limit"))
+		o.limit = signals.Limit
 	default:
 		o.limit = 0
 	}
-	o.any = o.any || said.Draining || said.Backoff > 0 || said.Limit > 0 || p.known(incarnationOf(&e))
-	p.ObserveSignals(e, said, now)
-	if ep := p.endpointStates[e.Name]; p.lastBackoffWins && ep != nil && said.Backoff > 0 {
-		ep.backoffUntil = now.Add(said.Backoff)
+	o.any = o.any || signals.Draining || signals.Backoff > 0 || signals.Limit > 0 || p.known(incarnationOf(&e))
+	p.ObserveSignals(e, signals, now)
+	if ep := p.endpointStates[e.Name]; p.lastBackoffWins && ep != nil && signals.Backoff > 0 {
+		ep.backoffUntil = now.Add(signals.Backoff)
 	}
 }
 
@@ -183,8 +183,8 @@
 
 // superseded reports whether signals of a later incarnation of the endpoint are on record.
 func (p *simulation) superseded(l signal.Incarnation) bool {
-	for o := range p.said {
-		if o.Endpoint == l.Endpoint && o.Start > l.Start && p.said[o].any {
+	for o := range p.reports {
+		if o.Endpoint == l.Endpoint && o.Start > l.Start && p.reports[o].any {
 			return true
 		}
 	}
@@ -193,7 +193,7 @@
 
 // known reports whether signals of any incarnation of the endpoint are on record.
 func (p *simulation) known(l signal.Incarnation) bool {
-	for o, s := range p.said {
+	for o, s := range p.reports {
 		if o.Endpoint == l.Endpoint && s.any {
 			return true
 		}
@@ -217,7 +217,7 @@
 	case 1, 2:
 		p.answer(t)
 	case 3:
-		p.hasRoom = !p.hasRoom
+		p.hasCapacity = !p.hasCapacity
 	case 8:
 		p.mergeSignal(t)
 	case 4:
@@ -226,7 +226,7 @@
 		n, idle := len(p.unsent), p.idle()
 		p.acquire()
 		if idle && len(p.unsent) == n && p.fault == "" {
-			p.fault = "a request found no place although an endpoint had said nothing against it"
+			p.fault = "a request got no slot although the signals of an endpoint allow it"
 		}
 	default:
 		p.send()
--- a/internal/traffic/slot.go
+++ b/internal/traffic/slot.go
@@ -107,7 +107,7 @@
 	Missing bool
 	// Running is the load that the endpoint reported, in running requests; negative if it reported none.
 	Running int
-	// Draining is true when the endpoint said that it is draining and takes no new requests.
+	// Draining is true when the endpoint reported that it is draining and takes no new requests.
 	Draining bool
 }
 
--- a/internal/traffic/wait.go
+++ b/internal/traffic/wait.go
@@ -74,7 +74,7 @@
 
 // waitedTooLong returns the refusal of a request that got no slot in time.
 func waitedTooLong(p *pool, waited time.Duration) error {
-	return refusal.New(refusal.WaitedTooLong, "no endpoint of %s had room within %s", p.name, waited.Round(time.Millisecond))
+	return refusal.New(refusal.WaitedTooLong, "no endpoint of %s had a free slot within %s", p.name, waited.Round(time.Millisecond))
 }
 
 // cancelWait removes a waiter from the queue and refuses it with the given error. If its wait has ended already, that
--- a/io/caller/charge.go
+++ b/io/caller/charge.go
@@ -12,7 +12,7 @@
 // Limiter enforces the rate limits of customers over all nodes.
 type Limiter interface {
 	// Charge charges need units to the customer and decides whether the request may run.
-	Charge(ctx context.Context, of *customer.Customer, need float64) quota.Decision
+	Charge(ctx context.Context, to *customer.Customer, need float64) quota.Decision
 	// Refund refunds an amount that was charged to the named customer at the given time, for a request that did not
 	// run.
 	Refund(name string, amount float64, charged time.Time)
--- a/io/caller/dispatch.go
+++ b/io/caller/dispatch.go
@@ -102,7 +102,7 @@
 	// end of the answer after the handler returns.
 	setWriteTimeout(http.NewResponseController(x.W), writeTimeout)
 	x.W.WriteHeader(a.status)
-	// A write fails only if the caller has disconnected, so nobody can be told.
+	// A write fails only if the caller has disconnected, so the error cannot be reported to it.
 	_, _ = x.W.Write(a.body)
 	return nil
 }
@@ -172,8 +172,8 @@
 	return r
 }
 
-// maxRequestAge is the largest age of a request when its bytes are written. The request tells the endpoint the time
-// that was left when it was built, and the platform tolerates an error of 500 ms.
+// maxRequestAge is the largest age of a request when its bytes are written. The request states the time that was left
+// when it was built, and the platform tolerates an error of 500 ms.
 const maxRequestAge = 400 * time.Millisecond
 
 // Reasons for which checkSend withholds a request.
--- a/io/caller/held_test.go
+++ b/io/caller/held_test.go
@@ -18,10 +18,10 @@
 func TestHeldBodiesAreBounded(t *testing.T) {
 	s := testServer(true)
 	s.heldBytes.limit = 250
-	inside, leave := make(chan struct{}), make(chan struct{})
+	inside, proceed := make(chan struct{}), make(chan struct{})
 	h := s.readBody(func(_ context.Context, x *Exchange) error {
 		inside <- struct{}{}
-		<-leave
+		<-proceed
 		return nil
 	})
 	send := func() error {
@@ -37,7 +37,7 @@
 	if err := send(); !errors.As(err, &refused) || !refused.NotRun() {
 		t.Errorf("a third body of 100 bytes beside two, 250 allowed: %v, want a refusal that it has not run", err)
 	}
-	close(leave)
+	close(proceed)
 	for range 2 {
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -51,15 +51,15 @@
 // deadlineWriter counts the writes during which a write deadline is set.
 type deadlineWriter struct {
 	*httptest.ResponseRecorder
-	deadline time.Time
-	bound    int
+	deadline     time.Time
+	withDeadline int
 }
 
 func (w *deadlineWriter) SetWriteDeadline(at time.Time) error { w.deadline = at; return nil }
 
 func (w *deadlineWriter) Write(b []byte) (int, error) {
 	if !w.deadline.IsZero() {
-		w.bound++
+		w.withDeadline++
 	}
 	return w.ResponseRecorder.Write(b)
 }
@@ -83,8 +83,8 @@
 	if err := writeAnswer(x, s.protocol(), &answer{status: http.StatusOK, body: []byte("whole")}); err != nil {
 		t.Fatal(err)
 	}
-	if w.bound != 3 {
-		t.Errorf("%d of 3 writes had a deadline", w.bound)
+	if w.withDeadline != 3 {
+		t.Errorf("%d of 3 writes had a deadline", w.withDeadline)
 	}
 }
 
@@ -96,15 +96,15 @@
 	held := 0
 	for range streams {
 		// Nobody reads from the other end.
-		here, there := net.Pipe()
-		defer there.Close()
-		x := &Exchange{W: pipeWriter{httptest.NewRecorder(), here}, R: httptest.NewRequest(http.MethodPost, "/", nil)}
+		nodeEnd, callerEnd := net.Pipe()
+		defer callerEnd.Close()
+		x := &Exchange{W: pipeWriter{httptest.NewRecorder(), nodeEnd}, R: httptest.NewRequest(http.MethodPost, "/", nil)}
 		r := &relay{x: x, s: s, flush: http.NewResponseController(x.W), buf: make([]byte, relayBuffer), events: s.protocol().Events(x), stall: &stall{}}
 		source := &countingReader{begun: make(chan struct{})}
 		ended := make(chan error, 1)
 		go func() { ended <- r.copy(t.Context(), source) }()
 		source.wait(t)
-		here.Close()
+		nodeEnd.Close()
 		<-ended
 		held += source.read
 	}
--- a/io/endpoint/endpoint.go
+++ b/io/endpoint/endpoint.go
@@ -7,7 +7,7 @@
 // net/http repeat it, and sends requests that must run at most once over a transport that never reuses a connection.
 //
 // An [Error] has the outcome retry.NotSent only if no connection was made, the request's [Check] withheld it, or the
-// endpoint itself said that it did not start the request. Package caller uses a Client for callers' requests; other
+// endpoint itself reported that it did not start the request. Package caller uses a Client for callers' requests; other
 // protocols than the default one pass a [Judge] and may use [CheckedDial] and [WithCheck] with their own transports.
 package endpoint
 
@@ -69,7 +69,7 @@
 type Error struct {
 	// Outcome says whether the request may have run.
 	Outcome retry.Outcome
-	// Refused is true when the endpoint said that it did not start the request.
+	// Refused is true when the endpoint reported that it did not start the request.
 	Refused bool
 	// Full is true when the endpoint refused the request because it has no capacity.
 	Full bool
@@ -104,7 +104,7 @@
 	*http.Response
 	// Running is the load that the endpoint reported, in running requests; -1 if it reported none.
 	Running int
-	// Draining is true when the endpoint said that it is draining.
+	// Draining is true when the endpoint reported that it is draining.
 	Draining bool
 	// Sends counts the connections on which the transport began to write the request.
 	Sends int
@@ -136,9 +136,9 @@
 	return true
 }
 
-// ResponseInfo is what the head of an answer says apart from its status.
+// ResponseInfo is what the head of an answer states apart from its status.
 type ResponseInfo struct {
-	// NotStarted is true when the endpoint says that it did not start the request.
+	// NotStarted is true when the endpoint reports that it did not start the request.
 	NotStarted bool
 	// Full, Missing and Replaced are as in Error.
 	Full, Missing, Replaced bool
@@ -146,7 +146,7 @@
 	Mismatched bool
 	// Running is the load that the endpoint reported, in running requests; -1 if it reported none.
 	Running int
-	// Draining is true when the endpoint said that it is draining.
+	// Draining is true when the endpoint reported that it is draining.
 	Draining bool
 	// Said holds the signals in the answer; none if the answer is from another endpoint than the request was meant
 	// for.
