--- a/core/refusal/refusal.go
+++ b/core/refusal/refusal.go
@@ -41,7 +41,8 @@
 	ModelBanned Kind = "modelBanned"
 	// DeadlinePast means that the timeout that the caller sent is not positive.
 	DeadlinePast Kind = "deadlinePast"
-	// CannotMakeDeadline means that no endpoint can serve the request before its deadline or before its caller gives up.
+	// CannotMakeDeadline means that no endpoint can serve the request before its deadline or before its caller gives
+	// up.
 	CannotMakeDeadline Kind = "cannotMakeDeadline"
 	// QueueFull means that this node holds too many waiting requests or too many bytes of bodies.
 	QueueFull Kind = "queueFull"
@@ -49,7 +50,7 @@
 	RateExceeded Kind = "rateExceeded"
 	// TooManyRequests means that the caller has too many concurrent requests at this node.
 	TooManyRequests Kind = "tooManyRequests"
-	// WaitedTooLong means that no endpoint had room before the request's wait ended.
+	// WaitedTooLong means that no endpoint had a free slot before the request's wait ended.
 	WaitedTooLong Kind = "waitedTooLong"
 	// NoEndpoint means that no endpoint may serve the request or started it, or the retry budget is used up.
 	NoEndpoint Kind = "noEndpoint"
--- a/internal/placer/feeding_test.go
+++ b/internal/placer/feeding_test.go
@@ -20,9 +20,9 @@
 	"olivetiller/io/peer"
 )
 
-// fleetQuestions returns one question of each node of a fleet in five data halls; every twentieth node per hall is
+// fleetRequests returns one watch request of each node of a fleet in five data halls; every twentieth node per hall is
 // strong.
-func fleetQuestions(nodes int) []peer.WatchRequest {
+func fleetRequests(nodes int) []peer.WatchRequest {
 	var out []peer.WatchRequest
 	for i := range nodes {
 		q := peer.WatchRequest{Node: fmt.Sprintf("n%04d", i), Address: fmt.Sprintf("n%04d:1", i), Hall: string(rune('a' + i%5)), Strength: 4}
@@ -42,16 +42,16 @@
 			clock := clockwork.NewFakeClock()
 			c := newController(clock)
 			c.held = true
-			c.published.collectQuestions(clock.Now(), 0, nil)
+			c.published.collectRequests(clock.Now(), 0, nil)
 			count := func() map[admission]int {
 				out := make(map[admission]int)
-				for _, q := range fleetQuestions(nodes) {
+				for _, q := range fleetRequests(nodes) {
 					out[c.published.admit(&q, clock.Now())]++
 				}
 				return out
 			}
 			if got := count()[waitForPlan]; got != nodes {
-				t.Errorf("%d of %d questions wait before the term begins", got, nodes)
+				t.Errorf("%d of %d watch requests wait before the term begins", got, nodes)
 			}
 			c.published.begin("a-1/1", 1, 1, nil, 0)
 			clock.Advance(collectWindow)
@@ -61,7 +61,7 @@
 				t.Errorf("%v, want at most %d nodes served directly", got, feedtree.FanOut)
 			}
 			if got[waitForPlan] > 0 {
-				t.Errorf("%d questions still wait after the plan was made", got[waitForPlan])
+				t.Errorf("%d watch requests still wait after the plan was made", got[waitForPlan])
 			}
 			if n := c.feeding.nodes.Load(); n != int64(nodes)+1 {
 				t.Errorf("%d nodes known, want %d", n, nodes+1)
@@ -70,7 +70,7 @@
 				t.Errorf("redirected nodes are sent a count of %d, want %d: a smaller one has them read the store at once", s.Nodes, nodes+1)
 			}
 			served := 0
-			for _, q := range fleetQuestions(nodes) {
+			for _, q := range fleetRequests(nodes) {
 				q.Orphan = true
 				if c.published.admit(&q, clock.Now()) == serveDirectly {
 					served++
@@ -139,7 +139,8 @@
 	serving     map[string][]string
 	list        *directory.Directory
 	relay       publication
-	// holderSeenAt and asOf are the times that the node assigns to the lease holder's state and to the store state in it.
+	// holderSeenAt and asOf are the times that the node assigns to the lease holder's state and to the store state in
+	// it.
 	holderSeenAt, asOf time.Time
 }
 
@@ -160,10 +161,10 @@
 	return s
 }
 
-// fetch has f ask a publication. The answer takes a time to arrive, or is lost.
-func (s *feedSite) fetch(f *feedFollower, from *publication, way time.Duration, lost bool) {
+// fetch sends a watch request of f to a publication. The answer takes transit to arrive, or is lost.
+func (s *feedSite) fetch(f *feedFollower, from *publication, transit time.Duration, lost bool) {
 	snap, _, ok := from.snapshot(peer.WatchRequest{Node: "f", Life: f.incarnation, Version: f.version}, s.now)
-	s.now = s.now.Add(way)
+	s.now = s.now.Add(transit)
 	if !ok || lost {
 		return
 	}
@@ -180,8 +181,8 @@
 	for _, r := range snap.Instances {
 		f.list.Apply(r, s.now)
 	}
-	f.holderSeenAt = s.now.Add(-way - time.Duration(snap.HolderAgeMs)*time.Millisecond)
-	f.asOf = s.now.Add(-way - time.Duration(snap.AgeMs)*time.Millisecond)
+	f.holderSeenAt = s.now.Add(-transit - time.Duration(snap.HolderAgeMs)*time.Millisecond)
+	f.asOf = s.now.Add(-transit - time.Duration(snap.AgeMs)*time.Millisecond)
 	if !f.relay.mirrors(snap.Term) || snap.Full {
 		f.relay.mirrorAll(snap, f.serving, f.list.Records(s.now), snap.DirectoryVersion)
 	} else {
@@ -237,7 +238,7 @@
 func TestLeafMatchesHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newFeedSite()
-		way := rapid.Map(rapid.IntRange(0, 300), func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond })
+		transit := rapid.Map(rapid.IntRange(0, 300), func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond })
 		terms := 1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			f := s.feeders[rapid.IntRange(0, 1).Draw(t, "feeder")]
@@ -245,11 +246,11 @@
 			case 0, 1:
 				s.change(t)
 			case 2:
-				s.fetch(f, &s.holder, way.Draw(t, "way"), rapid.Bool().Draw(t, "lost"))
+				s.fetch(f, &s.holder, transit.Draw(t, "way"), rapid.Bool().Draw(t, "lost"))
 			case 3:
-				s.fetch(s.leaf, &f.relay, way.Draw(t, "way"), rapid.Bool().Draw(t, "lost"))
+				s.fetch(s.leaf, &f.relay, transit.Draw(t, "way"), rapid.Bool().Draw(t, "lost"))
 			case 4:
-				s.fetch(s.leaf, &s.holder, way.Draw(t, "way"), false)
+				s.fetch(s.leaf, &s.holder, transit.Draw(t, "way"), false)
 			case 5:
 				terms++
 				list := slices.Collect(maps.Values(s.records))
--- a/internal/traffic/pool.go
+++ b/internal/traffic/pool.go
@@ -61,8 +61,8 @@
 	limit float64
 }
 
-// admit refuses a request that cannot meet its deadline, or a retry for which the budget has no room. For an admitted
-// retry it reserves a place in the budget, which finishRetry settles.
+// admit refuses a request that cannot meet its deadline, or a retry for which the budget has nothing left. An admitted
+// retry is reserved in the budget, which finishRetry settles.
 func (p *pool) admit(req SlotRequest, budget *retry.Budget, now time.Time) error {
 	if req.Resend {
 		return nil
@@ -104,8 +104,8 @@
 	return now.Sub(p.loadingSince)
 }
 
-// pick chooses an endpoint with room for the request. ok is false if there is none. hall is the data hall of this
-// node.
+// pick chooses an endpoint with a free slot for the request. ok is false if there is none. hall is the data hall of
+// this node.
 func (p *pool) pick(now time.Time, hall string, req *SlotRequest) (candidate, bool) {
 	n := len(p.endpoints)
 	if n == 0 {
@@ -159,23 +159,23 @@
 
 // update replaces the pool's endpoints with those of a view. When the first endpoint appears, the time since
 // coldSince is recorded as a load time.
-func (p *pool) update(v *view.View, places []candidate, now time.Time) {
-	if len(p.endpoints) == 0 && len(places) > 0 && !p.coldSince.IsZero() {
+func (p *pool) update(v *view.View, candidates []candidate, now time.Time) {
+	if len(p.endpoints) == 0 && len(candidates) > 0 && !p.coldSince.IsZero() {
 		p.model.Load.Observe(now.Sub(p.coldSince))
 	}
-	if len(places) > 0 || p.queue.Len() == 0 {
+	if len(candidates) > 0 || p.queue.Len() == 0 {
 		p.coldSince = time.Time{}
 	}
 	for _, cand := range p.endpoints {
 		delete(cand.endpointState.pools, p)
 	}
-	p.endpoints = places
-	for _, cand := range places {
+	p.endpoints = candidates
+	for _, cand := range candidates {
 		cand.endpointState.pools[p] = true
 	}
 	p.loadingSince = v.LoadingSince[p.basePool]
 	p.readyAt = v.ReadyAt[p.basePool]
-	p.outsideRegions = len(places) == 0 && !p.regions.All() && len(v.Pool(p.basePool)) > 0
+	p.outsideRegions = len(candidates) == 0 && !p.regions.All() && len(v.Pool(p.basePool)) > 0
 }
 
 // remove removes an endpoint at once, without waiting for a view without it.
--- a/io/endpoint/endpoint.go
+++ b/io/endpoint/endpoint.go
@@ -7,7 +7,7 @@
 // net/http repeat it, and sends requests that must run at most once over a transport that never reuses a connection.
 //
 // An [Error] has the outcome retry.NotSent only if no connection was made, the request's [Check] withheld it, or the
-// endpoint itself said that it did not start the request. Package caller uses a Client for callers' requests; other
+// endpoint itself reported that it did not start the request. Package caller uses a Client for callers' requests; other
 // protocols than the default one pass a [Judge] and may use [CheckedDial] and [WithCheck] with their own transports.
 package endpoint
 
@@ -65,11 +65,11 @@
 	Check Check
 }
 
-// Error is a request that got no answer, or none that counts as one.
+// Error is the failure of a request that got no complete answer, or one that counts as a failure.
 type Error struct {
 	// Outcome says whether the request may have run.
 	Outcome retry.Outcome
-	// Refused is true when the endpoint said that it did not start the request.
+	// Refused is true when the endpoint reported that it did not start the request.
 	Refused bool
 	// Full is true when the endpoint refused the request because it has no capacity.
 	Full bool
@@ -104,7 +104,7 @@
 	*http.Response
 	// Running is the load that the endpoint reported, in running requests; -1 if it reported none.
 	Running int
-	// Draining is true when the endpoint said that it is draining.
+	// Draining is true when the endpoint reported that it is draining.
 	Draining bool
 	// Sends counts the connections on which the transport began to write the request.
 	Sends int
@@ -136,24 +136,24 @@
 	return true
 }
 
-// ResponseInfo is what the head of an answer says apart from its status.
+// ResponseInfo is what the head of an answer states apart from its status.
 type ResponseInfo struct {
-	// NotStarted is true when the endpoint says that it did not start the request.
+	// NotStarted is true when the endpoint reports that it did not start the request.
 	NotStarted bool
-	// Full, Missing and Gone are as in Error.
+	// Full, Missing and Replaced are as in Error.
 	Full, Missing, Replaced bool
 	// Mismatched is true when the answer belongs to another request.
 	Mismatched bool
 	// Running is the load that the endpoint reported, in running requests; -1 if it reported none.
 	Running int
-	// Draining is true when the endpoint said that it is draining.
+	// Draining is true when the endpoint reported that it is draining.
 	Draining bool
 	// Said holds the signals in the answer; none if the answer is from another endpoint than the request was meant
 	// for.
 	Said signal.Signals
 }
 
-// Judge reads a Verdict from the head of the answer to r.
+// Judge reads a ResponseInfo from the head of the answer to r.
 type Judge func(r *Request, resp *http.Response) ResponseInfo
 
 // Options configure a Client.
@@ -164,8 +164,8 @@
 	Dialer *net.Dialer
 }
 
-// CloseIdleConnections closes the idle connections in the pool. After the machine has slept, the other sides may have
-// dropped them.
+// CloseIdleConnections closes the idle connections in the pool. After the machine was suspended, the other sides may
+// have dropped them.
 func (c *Client) CloseIdleConnections() { c.pooled.CloseIdleConnections() }
 
 // Client sends requests to endpoints. It is safe for concurrent use.
@@ -322,7 +322,7 @@
 		resp.Body.Close()
 		return nil, &Error{
 			Outcome: retry.NotSent, Refused: true, Full: v.Full, Missing: v.Missing, Replaced: v.Replaced, Said: v.Said,
-			Cause: eris.Errorf("the endpoint did not begin (%d): %s", resp.StatusCode, bytes.TrimSpace(text)),
+			Cause: eris.Errorf("the endpoint did not start the request (%d): %s", resp.StatusCode, bytes.TrimSpace(text)),
 		}
 	}
 	return &Response{Response: resp, Running: v.Running, Draining: v.Draining, Said: v.Said}, nil
