--- a/cmd/olivebench/ablation.go
+++ b/cmd/olivebench/ablation.go
@@ -49,7 +49,7 @@
 	}
 	out := []*rounds.Revision{base}
 	for _, m := range c.Without {
-		rev, err := rounds.CheckoutWithout(ctx, ".", c.Base, m, round.Scratch)
+		rev, err := rounds.CheckoutAblated(ctx, ".", c.Base, m, round.Scratch)
 		if err != nil {
 			return out, err
 		}
--- a/cmd/olivebench/rounds.go
+++ b/cmd/olivebench/rounds.go
@@ -130,5 +130,5 @@
 		fmt.Fprintf(os.Stderr, "%s %s seed %d: %v\n", r.Revision, r.Day, r.Seed, r.Err)
 		return
 	}
-	fmt.Fprintf(os.Stderr, "%s %s seed %d: %.3f %v %s\n", r.Revision, r.Day, r.Seed, r.Report.Worth, r.Report.Breaks, r.Report.Fault)
+	fmt.Fprintf(os.Stderr, "%s %s seed %d: %.3f %v %s\n", r.Revision, r.Day, r.Seed, r.Report.Worth, r.Report.Violations, r.Report.Fault)
 }
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -71,11 +71,11 @@
 	for _, name := range faults {
 		switch name {
 		case FaultLostAnswers:
-			f.Site.Log.Faults.Change(func(s *fault.Switches) { s.LoseAnswers = 0.3 })
+			f.Site.Log.Faults.Change(func(s *fault.Switches) { s.LoseResponses = 0.3 })
 		case FaultSlowLog:
 			f.Site.Log.Faults.Change(func(s *fault.Switches) { s.MinDelay, s.MaxDelay = 10*time.Millisecond, 30*time.Millisecond })
 		case FaultSlowStore:
-			f.Site.Store.Slow(4)
+			f.Site.Store.SetSlowdown(4)
 		}
 	}
 	for _, name := range faults {
--- a/internal/fleet/failure_test.go
+++ b/internal/fleet/failure_test.go
@@ -148,7 +148,7 @@
 	var leaving string
 	for _, e := range f.Site.Engines {
 		if e.Holds(name, "v1") {
-			e.SetLeaving(true)
+			e.SetDraining(true)
 			leaving = e.Instance
 		}
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -101,8 +101,8 @@
 	e.used, e.fence = 0, 0
 }
 
-// SetLeaving sets whether the engine announces in its status and responses that it drains.
-func (e *Engine) SetLeaving(draining bool) {
+// SetDraining sets whether the engine announces in its status and responses that it drains.
+func (e *Engine) SetDraining(draining bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = draining
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -19,9 +19,9 @@
 	// MinDelay and MaxDelay bound the time that each request is delayed before it takes effect;
 	// the delay is drawn uniformly.
 	MinDelay, MaxDelay time.Duration
-	// LoseAnswers is the probability that a request takes effect and its connection is aborted
+	// LoseResponses is the probability that a request takes effect and its connection is aborted
 	// without a response.
-	LoseAnswers float64
+	LoseResponses float64
 }
 
 // Injector applies switches to the requests of a handler. It is safe for concurrent use.
@@ -59,7 +59,7 @@
 	if span := i.switches.MaxDelay - i.switches.MinDelay; span > 0 {
 		delay += time.Duration(i.rng.Int64N(int64(span)))
 	}
-	lose = i.switches.LoseAnswers > 0 && i.rng.Float64() < i.switches.LoseAnswers
+	lose = i.switches.LoseResponses > 0 && i.rng.Float64() < i.switches.LoseResponses
 	return i.switches, delay, lose
 }
 
--- a/standin/instancelist/instancelist.go
+++ b/standin/instancelist/instancelist.go
@@ -19,10 +19,10 @@
 	KindService = "service"
 )
 
-// States of an instance. An instance in state Leaving drains.
+// States of an instance. An instance in state Draining finishes its requests and takes no new ones.
 const (
-	Live    = "live"
-	Leaving = "leaving"
+	Live     = "live"
+	Draining = "leaving"
 )
 
 // Instance is an entry of the list, in the form of the HTTP interface.
--- a/standin/weightstore/weightstore.go
+++ b/standin/weightstore/weightstore.go
@@ -42,9 +42,9 @@
 	return s
 }
 
-// Slow sets the factor on the duration of loads that start transferring from now on; 1 is the
+// SetSlowdown sets the factor on the duration of loads that start transferring from now on; 1 is the
 // normal speed.
-func (s *Store) Slow(factor float64) { s.slowdown.Store(int64(factor * 100)) }
+func (s *Store) SetSlowdown(factor float64) { s.slowdown.Store(int64(factor * 100)) }
 
 // Loads returns the number of completed loads.
 func (s *Store) Loads() int64 { return s.loads.Load() }
