--- a/core/customer/customer_test.go
+++ b/core/customer/customer_test.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// BenchmarkHolder looks up one of 100,000 keys. The requirement is 200 ns without an allocation; a lookup
+// BenchmarkByKey looks up one of 100,000 keys. The requirement is 200 ns without an allocation; a lookup
 // takes 144 ns.
-func BenchmarkHolder(b *testing.B) {
+func BenchmarkByKey(b *testing.B) {
 	customers := make([]Customer, 1000)
 	for i := range customers {
 		customers[i].Name = fmt.Sprint(i)
--- a/core/lease/outage.go
+++ b/core/lease/outage.go
@@ -39,9 +39,9 @@
 type Report struct {
 	// At is when the report was received.
 	At time.Time
-	// StoreAway is true if the node gets no answer from the store either, and no append of its own may
+	// StoreUnreachable is true if the node gets no answer from the store either, and no append of its own may
 	// still take effect.
-	StoreAway bool
+	StoreUnreachable bool
 	// Stopping is true if the node is shutting down; it takes the lease no more.
 	Stopping bool
 }
@@ -224,7 +224,7 @@
 func (o *Outage) unconfirmed(now time.Time) string {
 	for node, at := range o.lastSeen {
 		w := o.latestReports[node]
-		confirmed := w.Stopping || w.StoreAway && now.Sub(w.At) <= ReportFresh
+		confirmed := w.Stopping || w.StoreUnreachable && now.Sub(w.At) <= ReportFresh
 		if !confirmed && now.Sub(at) <= silenceLimit {
 			return node
 		}
--- a/core/lease/outage_test.go
+++ b/core/lease/outage_test.go
@@ -14,7 +14,7 @@
 func TestUnconfirmed(t *testing.T) {
 	now := at(60_000)
 	lately, longAgo := now.Add(-ReportFresh-1), now.Add(-silenceLimit-1)
-	unreachable := Report{At: now.Add(-time.Second), StoreAway: true}
+	unreachable := Report{At: now.Add(-time.Second), StoreUnreachable: true}
 	tests := []struct {
 		name    string
 		reports map[string]Report
@@ -25,7 +25,7 @@
 		{"alone", nil, nil, true},
 		{"all say so", map[string]Report{"a": unreachable, "b": unreachable}, nil, true},
 		{"one reaches the store", map[string]Report{"a": unreachable, "b": {At: unreachable.At}}, nil, false},
-		{"one is silent", map[string]Report{"a": unreachable, "b": {At: lately, StoreAway: true}}, nil, false},
+		{"one is silent", map[string]Report{"a": unreachable, "b": {At: lately, StoreUnreachable: true}}, nil, false},
 		{"one is silent and reached the store", map[string]Report{"a": unreachable, "b": {At: lately}}, nil, false},
 		{"one is gone", map[string]Report{"a": unreachable, "b": {At: longAgo}}, nil, true},
 		{"one stopped", map[string]Report{"a": unreachable, "b": {At: lately, Stopping: true}}, nil, true},
@@ -203,7 +203,7 @@
 	w.readTopic(i)
 	if h != nil && !m.held && w.now.After(m.reportAfter) {
 		unreachable := !m.readFailedAt.IsZero() && w.now.Sub(m.readFailedAt) <= ReportFresh && !m.TakeoverPending()
-		h.outage.ReportReceived(fmt.Sprint(i), Report{At: w.now, StoreAway: unreachable})
+		h.outage.ReportReceived(fmt.Sprint(i), Report{At: w.now, StoreUnreachable: unreachable})
 		m.reportAfter = w.now.Add(modelReport)
 	}
 	w.keepLease(t, i)
@@ -302,14 +302,14 @@
 		fenced        bool
 		want          Decision
 	}{
-		{"all say that it is away", &Report{StoreAway: true}, 0, 100 * time.Millisecond, time.Second, false, Continue},
+		{"all say that it is away", &Report{StoreUnreachable: true}, 0, 100 * time.Millisecond, time.Second, false, Continue},
 		{"one says nothing of it yet", &Report{}, 0, 100 * time.Millisecond, 400 * time.Millisecond, false, Wait},
 		{"one says nothing of it for long", &Report{}, 0, 100 * time.Millisecond, time.Second, false, StepDown},
 		{"one says nothing of it, with fences", &Report{}, 0, 100 * time.Millisecond, time.Second, true, Continue},
 		{"silence, with fences", nil, 0, 100 * time.Millisecond, time.Second, true, StepDown},
-		{"stood still", &Report{StoreAway: true}, 2 * time.Second, 100 * time.Millisecond, time.Second, false, StepDown},
-		{"the store answered long ago", &Report{StoreAway: true}, 0, 3 * time.Second, time.Second, false, StepDown},
-		{"for too long", &Report{StoreAway: true}, 0, 100 * time.Millisecond, MaxOutage, false, StepDown},
+		{"stood still", &Report{StoreUnreachable: true}, 2 * time.Second, 100 * time.Millisecond, time.Second, false, StepDown},
+		{"the store answered long ago", &Report{StoreUnreachable: true}, 0, 3 * time.Second, time.Second, false, StepDown},
+		{"for too long", &Report{StoreUnreachable: true}, 0, 100 * time.Millisecond, MaxOutage, false, StepDown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -326,7 +326,7 @@
 			o.Renewed(at(5004))
 			now := l.Until().Add(tt.after)
 			if tt.report != nil {
-				o.ReportReceived("b", Report{At: now.Add(-100 * time.Millisecond), StoreAway: tt.report.StoreAway})
+				o.ReportReceived("b", Report{At: now.Add(-100 * time.Millisecond), StoreUnreachable: tt.report.StoreUnreachable})
 			}
 			o.Acting(now.Add(-tt.suspended))
 			o.Failed(now.Add(-tt.failed))
--- a/core/placement/adapters.go
+++ b/core/placement/adapters.go
@@ -63,12 +63,12 @@
 		// The capacity for late loads must stay free at each count of orders.
 		after := capacityChange{orders: 1, mb: g.loadMB(unit), adapterSlots: 1}
 		if g.fullOfAdapters(e, unit) {
-			victim := g.adapterVictim(e)
-			if victim == nil {
+			toEvict := g.adapterToEvict(e)
+			if toEvict == nil {
 				continue
 			}
 			load += evictionPenalty
-			after = capacityChange{orders: 1, mb: -g.loadMB(*victim), adapterSlots: -1}
+			after = capacityChange{orders: 1, mb: -g.loadMB(*toEvict), adapterSlots: -1}
 		}
 		if !g.keepsReserve(e, after) {
 			continue
@@ -82,7 +82,7 @@
 		return
 	}
 	if g.fullOfAdapters(best, unit) {
-		g.send(best, &Order{Unit: *g.adapterVictim(best), Unload: true, Reason: "makes way for " + unit.Model + "/" + unit.Adapter})
+		g.send(best, &Order{Unit: *g.adapterToEvict(best), Unload: true, Reason: "makes way for " + unit.Model + "/" + unit.Adapter})
 		return
 	}
 	g.send(best, &Order{Unit: unit, Expected: adapterLoadTime, Reason: "requests wait"})
@@ -98,10 +98,10 @@
 	return m != nil && free < m.AdapterMB
 }
 
-// adapterVictim returns the least recently used adapter of an engine that no request uses, or
+// adapterToEvict returns the least recently used adapter of an engine that no request uses, or
 // nil.
-func (g *planning) adapterVictim(e *engine) *Unit {
-	var victim *Unit
+func (g *planning) adapterToEvict(e *engine) *Unit {
+	var toEvict *Unit
 	var oldest time.Time
 	for model, h := range e.models {
 		for name, a := range h.adapters {
@@ -109,12 +109,12 @@
 			if a.unloading || a.readyAt.After(g.now) || g.used(unit, e.id) {
 				continue
 			}
-			if victim == nil || a.lastUse.Before(oldest) || a.lastUse.Equal(oldest) && unit.compare(*victim) < 0 {
-				victim, oldest = &unit, a.lastUse
+			if toEvict == nil || a.lastUse.Before(oldest) || a.lastUse.Equal(oldest) && unit.compare(*toEvict) < 0 {
+				toEvict, oldest = &unit, a.lastUse
 			}
 		}
 	}
-	return victim
+	return toEvict
 }
 
 // used reports whether requests for a unit run at an engine or wait anywhere.
--- a/core/placement/candidate.go
+++ b/core/placement/candidate.go
@@ -58,8 +58,8 @@
 	fromStore    bool
 	// load is the duration of the load.
 	load time.Duration
-	// victims are the models to evict first; empty if the engine has enough free memory.
-	victims []string
+	// evicted are the models to evict first; empty if the engine has enough free memory.
+	evicted []string
 	// loss is in late requests a second: those of the evicted models, and those that wait for
 	// copies at the engine during a load from the store.
 	loss float64
@@ -142,11 +142,11 @@
 // capacity and orders the first of the evictions; loadReserved continues when the engine is
 // idle.
 func (g *planning) orderLoad(c *candidate, unit Unit, why string) {
-	if len(c.victims) > 0 {
+	if len(c.evicted) > 0 {
 		c.engine.reserved = unit
 		g.addPendingReplica(unit, c.ready)
 		g.send(c.engine, &Order{
-			Unit: Unit{Service: unit.Service, Model: c.victims[0]}, Unload: true, Expected: unloadTime, Reason: "makes way for " + unit.Model,
+			Unit: Unit{Service: unit.Service, Model: c.evicted[0]}, Unload: true, Expected: unloadTime, Reason: "makes way for " + unit.Model,
 		})
 		return
 	}
@@ -196,7 +196,7 @@
 // after each eviction and after the load that follows.
 func (g *planning) evictionKeepsReserve(e *engine, m *modelState, v *eviction) bool {
 	c := capacityChange{}
-	for _, name := range v.victims {
+	for _, name := range v.evicted {
 		c.orders++
 		c.mb -= e.sizeMB(g.table, name, e.models[name])
 		if !g.keepsReserve(e, c) {
@@ -225,9 +225,9 @@
 
 // evict adds the duration and loss of an eviction to the candidate.
 func (c *candidate) evict(v *eviction) {
-	c.victims = v.victims
+	c.evicted = v.evicted
 	c.loss += v.loss
-	c.ready = c.ready.Add(time.Duration(len(v.victims)) * swapTime)
+	c.ready = c.ready.Add(time.Duration(len(v.evicted)) * swapTime)
 	c.drainTime = v.drainTime
 	c.ready = c.ready.Add(c.drainTime)
 }
--- a/core/placement/capacity.go
+++ b/core/placement/capacity.go
@@ -18,7 +18,7 @@
 
 // eviction is a set of models of one engine to unload together.
 type eviction struct {
-	victims []string
+	evicted []string
 	// mb is the memory that they free in MB, and loss the late requests a second that their
 	// unload causes.
 	mb, loss float64
@@ -45,9 +45,9 @@
 	return nil
 }
 
-// maxVictims bounds the models of an engine that are considered for eviction: evictions
+// maxEvictionCandidates bounds the models of an engine that are considered for eviction: evictions
 // enumerates all combinations of them.
-const maxVictims = 6
+const maxEvictionCandidates = 6
 
 // capacity returns the engine's capacity, which is cached until an order in the same plan
 // changes it. urgent includes models with running requests.
@@ -76,13 +76,13 @@
 		if loss < 0 || !urgent && runs > 0 {
 			continue
 		}
-		out = append(out, eviction{victims: []string{name}, mb: e.sizeMB(g.table, name, h), loss: loss, runs: runs})
+		out = append(out, eviction{evicted: []string{name}, mb: e.sizeMB(g.table, name, h), loss: loss, runs: runs})
 	}
 	slices.SortFunc(out, func(a, b eviction) int {
 		// Compare loss per MB by cross-multiplication: sizes may be 0.
-		return cmp.Or(cmp.Compare(a.loss*b.mb, b.loss*a.mb), cmp.Compare(a.victims[0], b.victims[0]))
+		return cmp.Or(cmp.Compare(a.loss*b.mb, b.loss*a.mb), cmp.Compare(a.evicted[0], b.evicted[0]))
 	})
-	return out[:min(len(out), maxVictims)]
+	return out[:min(len(out), maxEvictionCandidates)]
 }
 
 // evictions returns the combinations of the candidates without those that cost at least as much
@@ -94,7 +94,7 @@
 		var v eviction
 		for i, c := range candidates {
 			if set&(1<<i) != 0 {
-				v.victims = append(v.victims, c.victims[0])
+				v.evicted = append(v.evicted, c.evicted[0])
 				v.mb += c.mb
 				v.loss += c.loss
 				v.runs += c.runs
@@ -104,7 +104,7 @@
 		all = append(all, v)
 	}
 	slices.SortStableFunc(all, func(a, b eviction) int {
-		return cmp.Or(cmp.Compare(a.price(), b.price()), cmp.Compare(len(a.victims), len(b.victims)))
+		return cmp.Or(cmp.Compare(a.price(), b.price()), cmp.Compare(len(a.evicted), len(b.evicted)))
 	})
 	kept := all[:0]
 	for _, v := range all {
--- a/core/placement/capacity_test.go
+++ b/core/placement/capacity_test.go
@@ -11,11 +11,11 @@
 )
 
 func TestEvictions(t *testing.T) {
-	small := eviction{victims: []string{"small"}, mb: 30, loss: 1}
-	large := eviction{victims: []string{"large"}, mb: 70, loss: 3}
-	busy := eviction{victims: []string{"busy"}, mb: 60, loss: 9, runs: 1}
-	running := eviction{victims: []string{"running"}, mb: 70, loss: 0.5, runs: 2}
-	idle := eviction{victims: []string{"idle"}, mb: 70, loss: 1.5}
+	small := eviction{evicted: []string{"small"}, mb: 30, loss: 1}
+	large := eviction{evicted: []string{"large"}, mb: 70, loss: 3}
+	busy := eviction{evicted: []string{"busy"}, mb: 60, loss: 9, runs: 1}
+	running := eviction{evicted: []string{"running"}, mb: 70, loss: 0.5, runs: 2}
+	idle := eviction{evicted: []string{"idle"}, mb: 70, loss: 1.5}
 	secondEach := func(runs int) time.Duration { return time.Duration(runs) * time.Second }
 	tests := []struct {
 		name       string
@@ -31,13 +31,13 @@
 		{"not even all", []eviction{small, large, busy}, 161, nil},
 		{"none", nil, 1, nil},
 		{"an idle one before one whose runs hold it up", []eviction{running, idle}, 60, []string{"idle"}},
-		{"an idle one of great loss after it", []eviction{running, busy, {victims: []string{"dear"}, mb: 70, loss: 9}}, 70, []string{"running"}},
+		{"an idle one of great loss after it", []eviction{running, busy, {evicted: []string{"dear"}, mb: 70, loss: 9}}, 70, []string{"running"}},
 	}
 	for _, test := range tests {
 		r := capacity{evictions: evictions(test.candidates, secondEach)}
 		var got []string
 		if w := r.cheapestEviction(test.needed); w != nil {
-			got = w.victims
+			got = w.evicted
 		}
 		if diff := cmp.Diff(test.want, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", test.name, diff)
--- a/core/placement/order.go
+++ b/core/placement/order.go
@@ -115,8 +115,8 @@
 	LoadingAdapters []directory.Held
 	// Running and Waiting count the requests at the engine.
 	Running, Waiting int
-	// Said holds the signals in the header of the response, such as the engine's request limit.
-	Said signal.Signals
+	// Signals holds the signals in the header of the response, such as the engine's request limit.
+	Signals signal.Signals
 	directory.Holdings
 }
 
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -234,9 +234,9 @@
 	}
 }
 
-// TestLostOrder checks that an engine with an unanswered order gets no order until it sends a
+// TestUnansweredOrder checks that an engine with an unanswered order gets no order until it sends a
 // report requested after that, and that the next order names the count in this report.
-func TestLostOrder(t *testing.T) {
+func TestUnansweredOrder(t *testing.T) {
 	p := testPlanner(t, 2, map[string]Report{"e1": {Taken: 4, Holdings: directory.Holdings{OnDisk: []string{"m0", "m1"}}}})
 	p.RecordUsage("n", []Usage{waitingUse(unit("m1"), 500)}, at(10))
 	actions := p.Plan(at(10), 1)
--- a/core/plan/loads.go
+++ b/core/plan/loads.go
@@ -242,7 +242,7 @@
 // plan, once the unloads are done.
 func (p *Planner) evict(in *Input, w replicaRequest, choice policy.Choice) []Action {
 	var acts []Action
-	var out []policy.Victim
+	var out []policy.EvictableReplica
 	for _, v := range choice.Evict {
 		if len(v.Adapters) > 0 {
 			// The base model is unloaded by a later plan, after its adapters.
@@ -284,7 +284,7 @@
 		}
 		out = append(out, policy.Candidate{
 			Engine: name, Free: e.MemoryBytes - e.Used, Tier: tier, HallReplicas: halls[e.Hall], BusyUnits: busyUnits(in, e),
-			TieBreak: rendezvous.Score(u.Name, name), Victims: p.victims(in, e, u),
+			TieBreak: rendezvous.Score(u.Name, name), Evictable: p.evictable(in, e, u),
 		})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Engine < out[j].Engine })
@@ -312,17 +312,17 @@
 	return pl != nil && pl.Phase == ledger.Ready
 }
 
-// victims returns the idle replicas on an engine that could be evicted for unit u,
+// evictable returns the idle replicas on an engine that could be evicted for unit u,
 // sorted by unit; u's own base model is not among them. A base model includes its
 // adapters and can be evicted only if all of them can.
-func (p *Planner) victims(in *Input, e *ledger.Engine, u *catalog.Unit) []policy.Victim {
-	single := make(map[string]policy.Victim)
+func (p *Planner) evictable(in *Input, e *ledger.Engine, u *catalog.Unit) []policy.EvictableReplica {
+	single := make(map[string]policy.EvictableReplica)
 	for uv, pl := range e.Placements {
-		if v, ok := p.victim(in, pl, u); ok {
+		if v, ok := p.evictableReplica(in, pl, u); ok {
 			single[uv.Unit] = v
 		}
 	}
-	var out []policy.Victim
+	var out []policy.EvictableReplica
 	for name, v := range single {
 		evictable := true
 		for uv := range e.Placements {
@@ -343,19 +343,19 @@
 	return out
 }
 
-// victim returns a replica as an eviction victim for unit u, and false if the
+// evictableReplica returns a replica as one to evict for unit u, and false if the
 // replica is in use, pinned or not ready, or is the base model of u.
-func (p *Planner) victim(in *Input, pl *ledger.Placement, u *catalog.Unit) (policy.Victim, bool) {
+func (p *Planner) evictableReplica(in *Input, pl *ledger.Placement, u *catalog.Unit) (policy.EvictableReplica, bool) {
 	if pl.Phase != ledger.Ready || pl.Unit == u.Base {
-		return policy.Victim{}, false
+		return policy.EvictableReplica{}, false
 	}
 	vu := in.Ledger.Catalog.Units[pl.Unit]
 	d := in.Demand.Get(pl.Unit, in.Now)
 	if d.Waiting+d.Running > 0 || (vu != nil && vu.Pinned) {
-		return policy.Victim{}, false
+		return policy.EvictableReplica{}, false
 	}
 	idle := p.idleTime(in, pl, d)
-	return policy.Victim{
+	return policy.EvictableReplica{
 		Unit: pl.Unit, Version: pl.Version, Bytes: pl.Bytes, Fence: pl.Fence,
 		Idle: idle, ReloadCost: p.Policy.ReloadCost(pl.Unit, idle, in.Now),
 	}, true
--- a/core/policy/place.go
+++ b/core/policy/place.go
@@ -33,12 +33,12 @@
 	// differs from unit to unit, so that homes that decide at the same moment choose
 	// different engines.
 	TieBreak uint64
-	// Victims holds the replicas on the engine that could be evicted.
-	Victims []Victim
+	// Evictable holds the replicas on the engine that could be evicted.
+	Evictable []EvictableReplica
 }
 
-// Victim is an idle replica that could be evicted.
-type Victim struct {
+// EvictableReplica is an idle replica that could be evicted.
+type EvictableReplica struct {
 	Unit, Version string
 	// Bytes is the engine memory that the eviction frees.
 	Bytes uint64
@@ -50,14 +50,14 @@
 	ReloadCost float64
 	// Adapters holds the adapters that must be unloaded before the replica, if it is
 	// a base model. They are included in Bytes and ReloadCost.
-	Adapters []Victim
+	Adapters []EvictableReplica
 }
 
 // Choice is the engine chosen for a load and the evictions that it needs.
 type Choice struct {
 	Engine string
 	// Evict holds the replicas to unload first; empty if there is room already.
-	Evict []Victim
+	Evict []EvictableReplica
 }
 
 // Place returns the best engine for a unit of need bytes, and false if no engine
@@ -124,11 +124,11 @@
 	return best, found
 }
 
-// cheapestEviction selects victims by rising reload cost per byte until need bytes
-// are free; ok is false if all victims together are not enough. Victims with an
+// cheapestEviction selects replicas by rising reload cost per byte until need bytes
+// are free; ok is false if all of them together are not enough. Replicas with an
 // infinite reload cost are never selected.
-func cheapestEviction(need uint64, c *Candidate) (evict []Victim, cost float64, ok bool) {
-	vs := append([]Victim(nil), c.Victims...)
+func cheapestEviction(need uint64, c *Candidate) (evict []EvictableReplica, cost float64, ok bool) {
+	vs := append([]EvictableReplica(nil), c.Evictable...)
 	sort.Slice(vs, func(i, j int) bool {
 		a, b := vs[i].ReloadCost/float64(vs[i].Bytes), vs[j].ReloadCost/float64(vs[j].Bytes)
 		if a != b {
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -13,8 +13,8 @@
 // TestPlace checks the engine and the evictions that Place chooses for a unit of
 // 10 GiB, one criterion per case.
 func TestPlace(t *testing.T) {
-	idle := func(unit string, size uint64, reloadCost float64) Victim {
-		return Victim{Unit: unit, Bytes: size * gib, ReloadCost: reloadCost}
+	idle := func(unit string, size uint64, reloadCost float64) EvictableReplica {
+		return EvictableReplica{Unit: unit, Bytes: size * gib, ReloadCost: reloadCost}
 	}
 	tests := []struct {
 		name  string
@@ -28,10 +28,10 @@
 		{"another hall for a second replica", []Candidate{{Engine: "a", Free: 10 * gib, HallReplicas: 1, Tier: Remote}, {Engine: "b", Free: 40 * gib, Tier: Remote}}, "b", nil, true},
 		{"not where much runs", []Candidate{{Engine: "a", Free: 10 * gib, BusyUnits: 3}, {Engine: "b", Free: 40 * gib}}, "b", nil, true},
 		{"the snug fit", []Candidate{{Engine: "a", Free: 40 * gib}, {Engine: "b", Free: 12 * gib}}, "b", nil, true},
-		{"evict the least loss for its bytes", []Candidate{{Engine: "a", Victims: []Victim{idle("x", 10, 5), idle("y", 10, 1)}}}, "a", []string{"y"}, true},
-		{"evict on the engine of least loss", []Candidate{{Engine: "a", Victims: []Victim{idle("x", 10, 5)}}, {Engine: "b", Victims: []Victim{idle("y", 10, 1)}}}, "b", []string{"y"}, true},
-		{"nothing to evict", []Candidate{{Engine: "a", Victims: []Victim{idle("x", 2, 1)}}}, "", nil, false},
-		{"what is too dear stays", []Candidate{{Engine: "a", Victims: []Victim{idle("x", 20, math.Inf(1))}}}, "", nil, false},
+		{"evict the least loss for its bytes", []Candidate{{Engine: "a", Evictable: []EvictableReplica{idle("x", 10, 5), idle("y", 10, 1)}}}, "a", []string{"y"}, true},
+		{"evict on the engine of least loss", []Candidate{{Engine: "a", Evictable: []EvictableReplica{idle("x", 10, 5)}}, {Engine: "b", Evictable: []EvictableReplica{idle("y", 10, 1)}}}, "b", []string{"y"}, true},
+		{"nothing to evict", []Candidate{{Engine: "a", Evictable: []EvictableReplica{idle("x", 2, 1)}}}, "", nil, false},
+		{"what is too dear stays", []Candidate{{Engine: "a", Evictable: []EvictableReplica{idle("x", 20, math.Inf(1))}}}, "", nil, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// BenchmarkHeld measures the lookup of a request, which every admission makes, with 10,000 records.
+// BenchmarkBlocked measures the lookup of a request, which every admission makes, with 10,000 records.
 // BenchmarkFingerprint measures the hash that each request needs for it.
-func BenchmarkHeld(b *testing.B) {
+func BenchmarkBlocked(b *testing.B) {
 	r := fullRegistry()
 	f := request(77)
 	now := at(time.Minute)
--- a/core/quarantine/entry.go
+++ b/core/quarantine/entry.go
@@ -22,7 +22,7 @@
 
 // Suspicion is the suspicion that a request crashed an engine: the engine crashed while it had the request.
 type Suspicion struct {
-	End CrashID
+	Crash CrashID
 	// Elapsed is how long the engine had the request before the crash.
 	Elapsed time.Duration
 	// Begun is true if the engine had begun to answer.
@@ -47,7 +47,7 @@
 	Epoch uint32
 	// At is when the epoch began, or when the request was first suspected.
 	At time.Time
-	// Suspicions are sorted by End; there is one for each crash.
+	// Suspicions are sorted by Crash; there is one for each crash.
 	Suspicions []Suspicion
 	// Verdict is nil if the request is not quarantined.
 	Verdict *Verdict
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -232,8 +232,8 @@
 // same crash, the shortest time that the request had run counts, since it is the strongest evidence.
 func (r *Registry) addSuspicion(rec *record, b Suspicion, now time.Time) bool {
 	at := b.At.Sub(r.base)
-	e := r.crash(b.End, at)
-	i, found := slices.BinarySearchFunc(rec.suspicions, b.End, func(x suspicion, id CrashID) int { return x.crash.id.compare(id) })
+	e := r.crash(b.Crash, at)
+	i, found := slices.BinarySearchFunc(rec.suspicions, b.Crash, func(x suspicion, id CrashID) int { return x.crash.id.compare(id) })
 	if found {
 		old := &rec.suspicions[i]
 		changed := b.Elapsed < old.elapsed || b.Begun && !old.begun
--- a/core/quarantine/registry_test.go
+++ b/core/quarantine/registry_test.go
@@ -22,7 +22,7 @@
 
 // suspicionOf returns a suspicion for a crash of an engine at time d, after the request had run for the time ran.
 func suspicionOf(engine string, d, ran time.Duration) Suspicion {
-	return Suspicion{End: CrashID{Engine: engine}, Elapsed: ran, Begun: true, At: at(d)}
+	return Suspicion{Crash: CrashID{Engine: engine}, Elapsed: ran, Begun: true, At: at(d)}
 }
 
 // crashed records a crash of an engine with its suspects, each of which had run for the time ran.
@@ -272,7 +272,7 @@
 		// At most two crashes, so that merging leads to no verdict.
 		for _, engine := range []string{"a", "b"}[:rapid.IntRange(0, 2).Draw(t, "blames")] {
 			e.Suspicions = append(e.Suspicions, Suspicion{
-				End: CrashID{Engine: engine}, Elapsed: time.Duration(rapid.IntRange(0, 5).Draw(t, "ran")) * time.Second,
+				Crash: CrashID{Engine: engine}, Elapsed: time.Duration(rapid.IntRange(0, 5).Draw(t, "ran")) * time.Second,
 				Begun: rapid.Bool().Draw(t, "begun"), At: at(time.Duration(rapid.IntRange(0, 9).Draw(t, "endAt")) * time.Second),
 			})
 		}
@@ -309,13 +309,13 @@
 		for _, e := range shuffled[cut:] {
 			third.Merge([]Entry{e}, now)
 		}
-		told, _ := third.Since(0, AllRecords)
-		second.Merge(told, now)
+		records, _ := third.Since(0, AllRecords)
+		second.Merge(records, now)
 		if diff := cmp.Diff(sortedEntries(first), sortedEntries(second)); diff != "" {
 			t.Fatalf("results of two merge orders differ (-first +second):\n%s", diff)
 		}
 		version := second.Version()
-		second.Merge(told, now)
+		second.Merge(records, now)
 		if second.Version() != version {
 			t.Fatal("merging known entries changed the registry")
 		}
--- a/core/quarantine/tracker.go
+++ b/core/quarantine/tracker.go
@@ -152,7 +152,7 @@
 	}
 	// Whether an abandoned request was still on the engine is unknown, so it has the weight of one that had not
 	// begun.
-	return Suspicion{End: id, Elapsed: max(0, at.Sub(from)), Begun: run.broke && !run.begunAt.IsZero(), At: at}
+	return Suspicion{Crash: id, Elapsed: max(0, at.Sub(from)), Begun: run.broke && !run.begunAt.IsZero(), At: at}
 }
 
 func (er *engineRuns) crashID(l Incarnation) CrashID {
--- a/core/quarantine/tracker_test.go
+++ b/core/quarantine/tracker_test.go
@@ -10,7 +10,7 @@
 
 // tracked is a crash and its suspects.
 type tracked struct {
-	End      CrashID
+	Crash    CrashID
 	Requests []int
 }
 
@@ -50,8 +50,8 @@
 			tr.Break(first, ms(10))
 			out := []tracked{end(tr, incarnation, ms(15))}
 			for i, run := range []*Run{later, next} {
-				if b, ended := tr.Break(run, ms(60)); ended {
-					out = append(out, tracked{b.End, []int{i + 1}})
+				if b, crashed := tr.Break(run, ms(60)); crashed {
+					out = append(out, tracked{b.Crash, []int{i + 1}})
 				}
 			}
 			return out
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -150,9 +150,9 @@
 	})
 }
 
-// TestPurse takes a node through all steps: it requests a grant, spends prefetched units, refuses by itself for a
+// TestAllowance takes a node through all steps: it requests a grant, spends prefetched units, refuses by itself for a
 // moment after a refusal, spends its own share while partitioned, and stops when its latest answer is too old.
-func TestPurse(t *testing.T) {
+func TestAllowance(t *testing.T) {
 	l := customer.Limit{Rate: 1000, Burst: 1000}
 	p := NewAllowance("a-1", Tolerance{})
 	step := func(need float64, d time.Duration) Step { return p.Take("c", l, need, at(d)).Step }
@@ -188,7 +188,7 @@
 	p.Answered(at(time.Second), 2)
 	p.Unanswered(at(500*time.Millisecond), at(1100*time.Millisecond))
 	if p.Partitioned() {
-		t.Error("a question sent before an answered one makes the node partitioned")
+		t.Error("an unanswered request sent before an answered one makes the node partitioned")
 	}
 	p.Granted("c", 100, 10, at(0))
 	if d := p.Take("c", l, 10, at(time.Second)); d.Step != NeedsGrant {
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestGiveBack checks that a charge is refunded once, and not when it is so old that it would count towards another
+// TestRefund checks that a charge is refunded once, and not when it is so old that it would count towards another
 // time.
-func TestGiveBack(t *testing.T) {
+func TestRefund(t *testing.T) {
 	l := customer.Limit{Rate: 1000, Burst: 1000}
 	tests := []struct {
 		name string
--- a/core/signal/signal_test.go
+++ b/core/signal/signal_test.go
@@ -11,7 +11,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func TestNumber(t *testing.T) {
+func TestParseNumber(t *testing.T) {
 	tests := []struct {
 		name      string
 		values    []string
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestDamageReportsLimited guards against a log line for each answer of an endpoint whose signals are malformed.
-func TestDamageReportsLimited(t *testing.T) {
+// TestMalformedReportsLimited guards against a log line for each answer of an endpoint whose signals are malformed.
+func TestMalformedReportsLimited(t *testing.T) {
 	b, reports := NewRegistry(), 0
 	s := Signals{Ran: true, Malformed: []MalformedError{{Name: "H", Value: "x"}}}
 	for d := time.Duration(0); d < 3*malformedInterval; d += malformedInterval / 20 {
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestRest(t *testing.T) {
+func TestParseBackoff(t *testing.T) {
 	tests := []struct {
 		name      string
 		values    []string
--- a/internal/isolation/guard.go
+++ b/internal/isolation/guard.go
@@ -145,11 +145,11 @@
 	g.registry.EndTrial(f, g.o.Clock.Now())
 }
 
-// recordCrash records a crash found by the tracker's method end, with the requests that the engine ran as suspects.
-func (g *Guard) recordCrash(incarnation quarantine.Incarnation, end func(quarantine.Incarnation, time.Time) (quarantine.CrashID, []quarantine.Fingerprint, []quarantine.Suspicion)) {
+// recordCrash records a crash found by detect, a method of the tracker, with the requests that the engine ran as suspects.
+func (g *Guard) recordCrash(incarnation quarantine.Incarnation, detect func(quarantine.Incarnation, time.Time) (quarantine.CrashID, []quarantine.Fingerprint, []quarantine.Suspicion)) {
 	g.mu.Lock()
 	now := g.o.Clock.Now()
-	id, requests, suspicions := end(incarnation, now)
+	id, requests, suspicions := detect(incarnation, now)
 	if id == (quarantine.CrashID{}) {
 		g.mu.Unlock()
 		return
@@ -157,7 +157,7 @@
 	g.registry.RecordCrash(id, now)
 	transitioned := g.registry.Suspect(requests, suspicions, now)
 	g.mu.Unlock()
-	g.Metrics.Ended.Add(1)
+	g.Metrics.Crashes.Add(1)
 	g.o.Logger.Info("engine crashed", "engine", incarnation.Engine, "born", incarnation.Start, "running", len(requests))
 	g.announce(requests, suspicions, transitioned)
 }
@@ -172,10 +172,10 @@
 			g.o.Logger.Info("further suspects of the crash not logged", "count", len(requests)-maxLogLines)
 			break
 		}
-		g.logStatus("request suspected of an engine crash", f, "engine", suspicions[i].End.Engine, "born", suspicions[i].End.Start,
+		g.logStatus("request suspected of an engine crash", f, "engine", suspicions[i].Crash.Engine, "born", suspicions[i].Crash.Start,
 			"ranMs", suspicions[i].Elapsed.Milliseconds(), "begun", suspicions[i].Begun, "beside", len(requests)-1)
 	}
-	g.Metrics.Blamed.Add(int64(len(requests)))
+	g.Metrics.Suspected.Add(int64(len(requests)))
 	g.scheduleEvaluation()
 	g.logTransitions(transitioned, "here")
 	if len(requests) > 0 {
--- a/internal/isolation/guard_test.go
+++ b/internal/isolation/guard_test.go
@@ -52,8 +52,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			g := testGuard(clockwork.NewFakeClock(), func() bool { return test.refused })
 			g.SetEngines(9)
-			if ended := breakConnection(t, g, "/a", "e"); ended != test.refused {
-				t.Errorf("ConnectionBroke returned %t", ended)
+			if crashed := breakConnection(t, g, "/a", "e"); crashed != test.refused {
+				t.Errorf("ConnectionBroke returned %t", crashed)
 			}
 			if diff := cmp.Diff(test.want.String(), g.State(fingerprint("/a")).String()); diff != "" {
 				t.Errorf("state (-want +got):\n%s", diff)
@@ -145,10 +145,10 @@
 	}
 }
 
-// TestRestartsNotBlamedOnUnsent guards against suspecting a request of crashes of engines that it never reached: four
+// TestUnsentRequestsNotSuspected guards against suspecting a request of crashes of engines that it never reached: four
 // engines that had crashed under another request refused the connections of a harmless one, which was quarantined
 // when all four had restarted.
-func TestRestartsNotBlamedOnUnsent(t *testing.T) {
+func TestUnsentRequestsNotSuspected(t *testing.T) {
 	g := testGuard(clockwork.NewFakeClock(), func() bool { return true })
 	g.SetEngines(4)
 	for _, engine := range []string{"a", "b", "c", "d"} {
--- a/internal/isolation/metrics.go
+++ b/internal/isolation/metrics.go
@@ -8,16 +8,16 @@
 
 // Metrics counts the events that a guard recorded.
 type Metrics struct {
-	// Ended counts engine crashes, Blamed the requests that this node suspected of one, and Cleared those that an
+	// Crashes counts engine crashes, Suspected the requests that this node suspected of one, and Cleared those that an
 	// engine answered successfully later.
-	Ended, Blamed, Cleared expvar.Int
+	Crashes, Suspected, Cleared expvar.Int
 }
 
 // Tree returns the metrics by name, with the number of requests in each state.
 func (g *Guard) Tree() *expvar.Map {
 	t := new(expvar.Map).Init()
-	t.Set("enginesEnded", &g.Metrics.Ended)
-	t.Set("blamed", &g.Metrics.Blamed)
+	t.Set("enginesEnded", &g.Metrics.Crashes)
+	t.Set("blamed", &g.Metrics.Suspected)
 	t.Set("cleared", &g.Metrics.Cleared)
 	t.Set("states", expvar.Func(func() any {
 		out := make(map[string]int, quarantine.States)
--- a/internal/isolation/run.go
+++ b/internal/isolation/run.go
@@ -17,7 +17,7 @@
 // next attempt.
 const maxProbeWait = 30 * time.Millisecond
 
-// exitDelay is how long a terminating process may take from the first closed connection to closing its listener.
+// exitDelay is how long a crashing process may take from the first closed connection to closing its listener.
 const exitDelay = 20 * time.Millisecond
 
 // Run is one attempt of a request at an engine. The first call of Answered, NotSent, Abandoned or ConnectionBroke ends
@@ -138,7 +138,7 @@
 }
 
 // probe finds out whether an engine whose connections broke is gone. If it still accepts a connection, it is probed
-// once more after exitDelay, since a terminating process may close its listener last.
+// once more after exitDelay, since a crashing process may close its listener last.
 func (g *Guard) probe(incarnation quarantine.Incarnation, address string, done chan struct{}) {
 	refused := g.refuses(address)
 	g.mu.Lock()
--- a/internal/isolation/runlock_test.go
+++ b/internal/isolation/runlock_test.go
@@ -36,7 +36,7 @@
 // newIsolatingGuards returns guards of several nodes at which a request is isolated.
 func newIsolatingGuards(clock clockwork.Clock, nodes int, f quarantine.Fingerprint) []*Guard {
 	locks := &sharedLocks{clock: clock, locks: quarantine.NewRunLocks()}
-	suspicions := []quarantine.Suspicion{{End: quarantine.CrashID{Engine: "e"}, Elapsed: 40 * time.Millisecond, Begun: true, At: clock.Now()}}
+	suspicions := []quarantine.Suspicion{{Crash: quarantine.CrashID{Engine: "e"}, Elapsed: 40 * time.Millisecond, Begun: true, At: clock.Now()}}
 	var guards []*Guard
 	for range nodes {
 		g := New(Options{Clock: clock, Logger: hclog.NewNullLogger(), Turns: locks})
--- a/internal/placer/followers.go
+++ b/internal/placer/followers.go
@@ -41,7 +41,7 @@
 	}
 	now := c.o.Clock.Now()
 	c.nodes[m.r.Node] = follower{reportedAt: now, strength: m.r.Strength, storeUnavailable: m.r.StoreUnreachable, address: m.r.Address, hall: m.r.Hall}
-	c.outage.ReportReceived(m.r.Node, lease.Report{At: now, StoreAway: m.r.StoreUnreachable, Stopping: m.r.Stopping})
+	c.outage.ReportReceived(m.r.Node, lease.Report{At: now, StoreUnreachable: m.r.StoreUnreachable, Stopping: m.r.Stopping})
 	uses := make([]placement.Usage, 0, len(m.r.Use))
 	for _, w := range m.r.Use {
 		unit, ok := placement.ParsePool(w.Pool)
@@ -49,7 +49,7 @@
 			c.o.Logger.Warn("reported use of an unknown pool skipped", "node", m.r.Node, "pool", w.Pool)
 			continue
 		}
-		u := placement.Usage{Unit: unit, Waiting: w.Waiting, Arrivals: w.Arrivals, Deferred: w.SentAway, Objective: time.Duration(w.ObjectiveMs) * time.Millisecond, RunningAt: w.RunningAt}
+		u := placement.Usage{Unit: unit, Waiting: w.Waiting, Arrivals: w.Arrivals, Deferred: w.Deferred, Objective: time.Duration(w.ObjectiveMs) * time.Millisecond, RunningAt: w.RunningAt}
 		if w.Waiting > 0 {
 			u.NextDue = now.Add(time.Duration(w.UrgentInMs) * time.Millisecond)
 			u.LastDue = now.Add(time.Duration(w.LastInMs) * time.Millisecond)
--- a/internal/placer/holderstate.go
+++ b/internal/placer/holderstate.go
@@ -456,7 +456,7 @@
 		if !ok {
 			continue
 		}
-		out = addUse(out, placement.Usage{Unit: unit, Waiting: u.Waiting, Arrivals: u.Arrivals, Deferred: u.SentAway, Objective: u.Objective, NextDue: u.Urgent, LastDue: u.Last, RunningAt: u.RunningAt})
+		out = addUse(out, placement.Usage{Unit: unit, Waiting: u.Waiting, Arrivals: u.Arrivals, Deferred: u.Deferred, Objective: u.Objective, NextDue: u.Urgent, LastDue: u.Last, RunningAt: u.RunningAt})
 	}
 	return out
 }
@@ -488,7 +488,7 @@
 func (c *Controller) wireUses(now time.Time) []peer.PoolUsage {
 	var out []peer.PoolUsage
 	for _, u := range c.uses(now) {
-		w := peer.PoolUsage{Pool: u.Unit.Pool(), Waiting: u.Waiting, Arrivals: u.Arrivals, SentAway: u.Deferred, ObjectiveMs: u.Objective.Milliseconds(), RunningAt: u.RunningAt}
+		w := peer.PoolUsage{Pool: u.Unit.Pool(), Waiting: u.Waiting, Arrivals: u.Arrivals, Deferred: u.Deferred, ObjectiveMs: u.Objective.Milliseconds(), RunningAt: u.RunningAt}
 		if !u.NextDue.IsZero() {
 			w.UrgentInMs, w.LastInMs = u.NextDue.Sub(now).Milliseconds(), u.LastDue.Sub(now).Milliseconds()
 		}
--- a/internal/placer/isolation_test.go
+++ b/internal/placer/isolation_test.go
@@ -67,7 +67,7 @@
 	now := c.o.Clock.Now()
 	e := quarantine.Entry{Request: f, At: now}
 	for i, engine := range engines {
-		e.Suspicions = append(e.Suspicions, quarantine.Suspicion{End: quarantine.CrashID{Engine: engine}, Begun: true, Elapsed: time.Millisecond, At: now.Add(time.Duration(i) * time.Second)})
+		e.Suspicions = append(e.Suspicions, quarantine.Suspicion{Crash: quarantine.CrashID{Engine: engine}, Begun: true, Elapsed: time.Millisecond, At: now.Add(time.Duration(i) * time.Second)})
 	}
 	c.suspects.guard.Merge([]quarantine.Entry{e}, "test")
 }
--- a/internal/placer/quota.go
+++ b/internal/placer/quota.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// Credit implements [peer.Holder]: it grants an amount of a customer's or an endpoint's limit to another node. It
+// HandleGrant implements [peer.Holder]: it grants an amount of a customer's or an endpoint's limit to another node. It
 // returns peer.ErrNotHolder if this node does not hold the lease.
-func (c *Controller) Credit(q *peer.GrantRequest) (*peer.Grant, error) {
+func (c *Controller) HandleGrant(q *peer.GrantRequest) (*peer.Grant, error) {
 	if err := q.Check(); err != nil {
 		return nil, err
 	}
@@ -150,7 +150,7 @@
 func (c *Controller) askForGrant(ctx context.Context, q *peer.GrantRequest) (*peer.Grant, bool) {
 	qs := &c.quotas
 	sent := c.o.Clock.Now()
-	a, err := askHolder(ctx, c, q, c.Credit, c.o.Peers.RequestGrant)
+	a, err := askHolder(ctx, c, q, c.HandleGrant, c.o.Peers.RequestGrant)
 	now := c.o.Clock.Now()
 	qs.mu.Lock()
 	defer qs.mu.Unlock()
--- a/internal/placer/runlock.go
+++ b/internal/placer/runlock.go
@@ -16,9 +16,9 @@
 	locks *quarantine.RunLocks
 }
 
-// Turn implements [peer.Holder]: it grants or releases the run lock of a request. It returns peer.ErrNotHolder if
-// this node does not hold the lease.
-func (c *Controller) Turn(q *peer.RunLockRequest) (*peer.RunLock, error) {
+// HandleRunLock implements [peer.Holder]: it grants or releases the run lock of a request. It returns peer.ErrNotHolder
+// if this node does not hold the lease.
+func (c *Controller) HandleRunLock(q *peer.RunLockRequest) (*peer.RunLock, error) {
 	if !c.leading.Load() {
 		return nil, peer.ErrNotHolder
 	}
@@ -41,7 +41,7 @@
 // does not answer; each node then serializes its own copies only.
 func (c *Controller) AcquireRun(ctx context.Context, f quarantine.Fingerprint, run string) (after time.Duration) {
 	q := &peer.RunLockRequest{Request: f, Run: c.o.Self.Incarnation + "/" + run}
-	a, err := askHolder(ctx, c, q, c.Turn, c.o.Peers.RequestRunLock)
+	a, err := askHolder(ctx, c, q, c.HandleRunLock, c.o.Peers.RequestRunLock)
 	if err != nil {
 		c.o.Logger.Info("no answer on the run lock of an isolated request", "fingerprint", f.String(), "error", err.Error())
 		return 0
@@ -54,7 +54,7 @@
 func (c *Controller) ReleaseRun(f quarantine.Fingerprint, run string, answered bool) {
 	q := &peer.RunLockRequest{Request: f, Run: c.o.Self.Incarnation + "/" + run, Release: true, Answered: answered}
 	go func() {
-		if _, err := askHolder(context.Background(), c, q, c.Turn, c.o.Peers.RequestRunLock); err != nil {
+		if _, err := askHolder(context.Background(), c, q, c.HandleRunLock, c.o.Peers.RequestRunLock); err != nil {
 			c.o.Logger.Debug("run lock of an isolated request not released", "fingerprint", f.String(), "error", err.Error())
 		}
 	}()
--- a/internal/placer/signals.go
+++ b/internal/placer/signals.go
@@ -54,7 +54,7 @@
 
 // applyReportedSignals applies the signals that an engine's report contains.
 func (c *Controller) applyReportedSignals(engine string, r *placement.Report, asked time.Time) {
-	ch := c.o.Dispatcher.ObserveSignals(view.Endpoint{Name: engine, Start: int64(r.Start)}, r.Said, asked)
+	ch := c.o.Dispatcher.ObserveSignals(view.Endpoint{Name: engine, Start: int64(r.Start)}, r.Signals, asked)
 	if ch.Changed() {
 		c.logSignal(&ch, "report")
 	}
--- a/internal/traffic/dispatcher_test.go
+++ b/internal/traffic/dispatcher_test.go
@@ -107,7 +107,7 @@
 				if diff := cmp.Diff(tt.want, summaryOf(<-done)); diff != "" {
 					t.Errorf("refusal (-want +got):\n%s", diff)
 				}
-				if u := d.Usage(); tt.want != (refusalSummary{}) && (len(u) != 1 || u[0].SentAway != 1) {
+				if u := d.Usage(); tt.want != (refusalSummary{}) && (len(u) != 1 || u[0].Deferred != 1) {
 					t.Errorf("Usage = %v, want one refusal with a retry hint", u)
 				}
 			})
--- a/internal/traffic/signals_test.go
+++ b/internal/traffic/signals_test.go
@@ -201,20 +201,20 @@
 // once.
 func TestBackoffIsKept(t *testing.T) {
 	s := newLimitedPoolSetup("i-1")
-	turnAway := func(rest time.Duration) {
-		s.ObserveSignals(limitedEndpoint("i-1"), signal.Signals{Backoff: rest}, s.clock.Now())
+	refuse := func(backoff time.Duration) {
+		s.ObserveSignals(limitedEndpoint("i-1"), signal.Signals{Backoff: backoff}, s.clock.Now())
 	}
 	slot, err := s.Acquire(t.Context(), limitedPool, s.newRequest(9*time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	turnAway(3 * time.Second)
+	refuse(3 * time.Second)
 	if err := s.CheckSend(slot); err == nil {
 		t.Error("CheckSend allows a request that got its slot before")
 	}
 	slot.Release(Result{Full: true, NotStarted: true, Running: -1})
 	s.clock.Advance(time.Second)
-	turnAway(time.Second)
+	refuse(time.Second)
 	s.publish("i-1")
 	_, err = s.Acquire(t.Context(), limitedPool, s.newRequest(1900*time.Millisecond))
 	if got := summaryOf(err).Kind; got != refusal.CannotMakeDeadline {
--- a/internal/traffic/usage.go
+++ b/internal/traffic/usage.go
@@ -64,8 +64,8 @@
 	// Waiting counts queued requests, and Arrivals first attempts since the last call.
 	Waiting  int
 	Arrivals int
-	// SentAway counts the requests refused with a retry hint since the last call.
-	SentAway int
+	// Deferred counts the requests refused with a retry hint since the last call.
+	Deferred int
 	// Objective is the smallest latency objective among the arrivals; 0 if none has one.
 	Objective time.Duration
 	// Urgent is the earliest queue deadline among the waiting requests that is not past, or the earliest of all if
@@ -85,7 +85,7 @@
 		if p.queue.Len() == 0 && p.running == 0 && p.arrivals == 0 && p.retryHints == 0 {
 			continue
 		}
-		u := Usage{Pool: p.name, Waiting: p.queue.Len(), Arrivals: p.arrivals, SentAway: p.retryHints, Objective: p.objective, RunningAt: maps.Clone(p.runningAt)}
+		u := Usage{Pool: p.name, Waiting: p.queue.Len(), Arrivals: p.arrivals, Deferred: p.retryHints, Objective: p.objective, RunningAt: maps.Clone(p.runningAt)}
 		u.Urgent, u.Last, _ = p.queue.Due(now)
 		p.arrivals, p.retryHints, p.objective = 0, 0, 0
 		out = append(out, u)
--- a/io/caller/send.go
+++ b/io/caller/send.go
@@ -18,9 +18,9 @@
 	var refused *endpoint.Error
 	switch {
 	case err == nil:
-		s.recordSignals(x, slot, resp.Said, sent)
+		s.recordSignals(x, slot, resp.Signals, sent)
 	case errors.As(err, &refused):
-		s.recordSignals(x, slot, refused.Said, sent)
+		s.recordSignals(x, slot, refused.Signals, sent)
 	}
 	return resp, err
 }
--- a/io/endpoint/endpoint.go
+++ b/io/endpoint/endpoint.go
@@ -87,8 +87,8 @@
 	Answered bool
 	// Sends counts the connections on which the transport began to write the request; 0 if none.
 	Sends int
-	// Said holds the signals in the endpoint's answer.
-	Said signal.Signals
+	// Signals holds the signals in the endpoint's answer.
+	Signals signal.Signals
 	// Cause is the underlying error.
 	Cause error
 }
@@ -108,8 +108,8 @@
 	Draining bool
 	// Sends counts the connections on which the transport began to write the request.
 	Sends int
-	// Said holds the signals in the answer.
-	Said signal.Signals
+	// Signals holds the signals in the answer.
+	Signals signal.Signals
 }
 
 // BrokenError returns the error for an answer whose body could not be read to its end because of cause.
@@ -148,9 +148,9 @@
 	Running int
 	// Draining is true when the endpoint reported that it is draining.
 	Draining bool
-	// Said holds the signals in the answer; none if the answer is from another endpoint than the request was meant
+	// Signals holds the signals in the answer; none if the answer is from another endpoint than the request was meant
 	// for.
-	Said signal.Signals
+	Signals signal.Signals
 }
 
 // Judge reads a ResponseInfo from the head of the answer to r.
@@ -321,11 +321,11 @@
 		}
 		resp.Body.Close()
 		return nil, &Error{
-			Outcome: retry.NotSent, Refused: true, Full: v.Full, Missing: v.Missing, Replaced: v.Replaced, Said: v.Said,
+			Outcome: retry.NotSent, Refused: true, Full: v.Full, Missing: v.Missing, Replaced: v.Replaced, Signals: v.Signals,
 			Cause: eris.Errorf("the endpoint did not start the request (%d): %s", resp.StatusCode, bytes.TrimSpace(text)),
 		}
 	}
-	return &Response{Response: resp, Running: v.Running, Draining: v.Draining, Said: v.Said}, nil
+	return &Response{Response: resp, Running: v.Running, Draining: v.Draining, Signals: v.Signals}, nil
 }
 
 // judgeDefault is the Judge of the default engine protocol.
--- a/io/peer/grant.go
+++ b/io/peer/grant.go
@@ -82,7 +82,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		answer, err := h.Credit(&q)
+		answer, err := h.HandleGrant(&q)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
--- a/io/peer/peer.go
+++ b/io/peer/peer.go
@@ -67,13 +67,13 @@
 var ErrNoHolder = errors.New("the node does not know who holds the lease; ask another node")
 
 // PoolUsage is a node's demand for one unit, which is named by its pool. Waiting counts the requests in the queue,
-// Arrivals those that came since the previous report, and SentAway those that were refused with a retry hint since
+// Arrivals those that came since the previous report, and Deferred those that were refused with a retry hint since
 // then. RunningAt counts the running requests by engine.
 type PoolUsage struct {
 	Pool     string `json:"pool"`
 	Waiting  int    `json:"waiting,omitempty"`
 	Arrivals int    `json:"arrivals,omitempty"`
-	SentAway int    `json:"sentAway,omitempty"`
+	Deferred int    `json:"sentAway,omitempty"`
 	// ObjectiveMs is the shortest latency objective among the arrivals, in milliseconds; 0 if none has one.
 	ObjectiveMs int64 `json:"objectiveMs,omitempty"`
 	// UrgentInMs and LastInMs are the times, in milliseconds, until the most urgent and the least urgent waiting
@@ -224,10 +224,10 @@
 	Watch(ctx context.Context, q WatchRequest) (*Snapshot, error)
 	// LeaseMark returns the latest lease record that the node knows, or nil if it knows no holder.
 	LeaseMark() *LeaseMark
-	// Credit answers a request for a grant from the limit of a customer or of an endpoint.
-	Credit(q *GrantRequest) (*Grant, error)
-	// Turn acquires or releases the lock under which copies of an isolated request run one at a time.
-	Turn(q *RunLockRequest) (*RunLock, error)
+	// HandleGrant answers a request for a grant from the limit of a customer or of an endpoint.
+	HandleGrant(q *GrantRequest) (*Grant, error)
+	// HandleRunLock acquires or releases the lock under which copies of an isolated request run one at a time.
+	HandleRunLock(q *RunLockRequest) (*RunLock, error)
 	Exchanger
 }
 
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -30,7 +30,7 @@
 	grant          *Grant
 }
 
-func (h *fakeHolder) Credit(q *GrantRequest) (*Grant, error) {
+func (h *fakeHolder) HandleGrant(q *GrantRequest) (*Grant, error) {
 	if h.grant == nil {
 		return nil, ErrNotHolder
 	}
@@ -38,7 +38,7 @@
 	return h.grant, nil
 }
 
-func (h *fakeHolder) Turn(q *RunLockRequest) (*RunLock, error) {
+func (h *fakeHolder) HandleRunLock(q *RunLockRequest) (*RunLock, error) {
 	if h.runLock == nil {
 		return nil, ErrNotHolder
 	}
--- a/io/peer/quarantine.go
+++ b/io/peer/quarantine.go
@@ -42,7 +42,7 @@
 		e := &entries[i]
 		s := Suspect{Request: e.Request, Epoch: e.Epoch, AgeMs: now.Sub(e.At).Milliseconds()}
 		for _, c := range e.Suspicions {
-			s.Suspicions = append(s.Suspicions, Suspicion{CrashID: c.End, RanMs: c.Elapsed.Milliseconds(), Begun: c.Begun, AgeMs: now.Sub(c.At).Milliseconds()})
+			s.Suspicions = append(s.Suspicions, Suspicion{CrashID: c.Crash, RanMs: c.Elapsed.Milliseconds(), Begun: c.Begun, AgeMs: now.Sub(c.At).Milliseconds()})
 		}
 		if e.Verdict != nil {
 			s.Verdict = &Verdict{AgeMs: now.Sub(e.Verdict.At).Milliseconds(), Trials: e.Verdict.Trials}
@@ -59,7 +59,7 @@
 		s := &suspects[i]
 		e := quarantine.Entry{Request: s.Request, Epoch: s.Epoch, At: timeFromAge(now, s.AgeMs)}
 		for _, c := range s.Suspicions {
-			e.Suspicions = append(e.Suspicions, quarantine.Suspicion{End: c.CrashID, Elapsed: clampMs(c.RanMs), Begun: c.Begun, At: timeFromAge(now, c.AgeMs)})
+			e.Suspicions = append(e.Suspicions, quarantine.Suspicion{Crash: c.CrashID, Elapsed: clampMs(c.RanMs), Begun: c.Begun, At: timeFromAge(now, c.AgeMs)})
 		}
 		if s.Verdict != nil {
 			e.Verdict = &quarantine.Verdict{At: timeFromAge(now, s.Verdict.AgeMs), Trials: max(0, s.Verdict.Trials)}
--- a/io/peer/quarantine_test.go
+++ b/io/peer/quarantine_test.go
@@ -21,8 +21,8 @@
 		return []quarantine.Entry{{
 			Request: quarantine.FingerprintOf("c", quarantine.DigestOf("POST", "h", "/", nil)), Epoch: 2, At: now.Add(-9 * time.Second),
 			Suspicions: []quarantine.Suspicion{
-				{End: quarantine.CrashID{Engine: "a", Start: 5}, Elapsed: 80 * time.Millisecond, Begun: true, At: now.Add(-8 * time.Second)},
-				{End: quarantine.CrashID{Engine: "b", N: 1}, At: now.Add(-7 * time.Second)},
+				{Crash: quarantine.CrashID{Engine: "a", Start: 5}, Elapsed: 80 * time.Millisecond, Begun: true, At: now.Add(-8 * time.Second)},
+				{Crash: quarantine.CrashID{Engine: "b", N: 1}, At: now.Add(-7 * time.Second)},
 			},
 			Verdict: &quarantine.Verdict{At: now.Add(-6 * time.Second), Trials: 1},
 		}, {Request: quarantine.Fingerprint{1}, At: now}}
--- a/io/peer/runlock.go
+++ b/io/peer/runlock.go
@@ -40,7 +40,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		answer, err := h.Turn(&q)
+		answer, err := h.HandleRunLock(&q)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
