--- a/internal/isolation/guard.go
+++ b/internal/isolation/guard.go
@@ -145,7 +145,8 @@
 	g.registry.EndTrial(f, g.o.Clock.Now())
 }
 
-// recordCrash records a crash found by detect, a method of the tracker, with the requests that the engine ran as suspects.
+// recordCrash records a crash found by detect, a method of the tracker, with the requests that the engine ran as
+// suspects.
 func (g *Guard) recordCrash(incarnation quarantine.Incarnation, detect func(quarantine.Incarnation, time.Time) (quarantine.CrashID, []quarantine.Fingerprint, []quarantine.Suspicion)) {
 	g.mu.Lock()
 	now := g.o.Clock.Now()
