--- a/cmd/olivebench/quota.go
+++ b/cmd/olivebench/quota.go
@@ -31,7 +31,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "LOAD\tNODES\tDESIGN\tOVER\tWORST WINDOW\tREFUSED BENEATH\tQUESTIONS/S")
 	for _, r := range results {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%.3f\t%.4f\t%.0f\n", r.Name, r.Load.Nodes, r.Design, r.Over, r.Worst, r.Refused, r.GrantRequestRate)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%.3f\t%.4f\t%.0f\n", r.Name, r.Load.Nodes, r.Design, r.Over, r.Worst, r.Refused, r.Questions)
 	}
 	return w.Flush()
 }
--- a/internal/quotalab/compare.go
+++ b/internal/quotalab/compare.go
@@ -65,7 +65,7 @@
 func (n *Named) keepWorst(r Result) {
 	n.Design, n.Load = r.Design, r.Load
 	n.Worst, n.Over = max(n.Worst, r.Worst), max(n.Over, r.Over)
-	n.Refused, n.GrantRequestRate = max(n.Refused, r.Refused), max(n.GrantRequestRate, r.GrantRequestRate)
+	n.Refused, n.Questions = max(n.Refused, r.Refused), max(n.Questions, r.Questions)
 }
 
 // Plot plots the share of tokens refused within the limit against the number of nodes, for the
--- a/internal/quotalab/simulation.go
+++ b/internal/quotalab/simulation.go
@@ -94,8 +94,8 @@
 	// Refused is the share of tokens, from 0 to 1, that were refused although a single exact token
 	// bucket for all nodes would have admitted them; the hot customer is left out.
 	Refused float64
-	// GrantRequestRate is the number of grant requests per second from all nodes.
-	GrantRequestRate float64
+	// Questions is the number of grant requests per second from all nodes.
+	Questions float64
 }
 
 // admittedRequest is a request that was admitted, and when.
@@ -310,7 +310,7 @@
 
 // result returns the figures, from the tokens admitted in each window.
 func (sim *simulation) result() Result {
-	r := Result{Design: sim.design, Load: sim.load, GrantRequestRate: float64(sim.grantRequests) / sim.load.For.Seconds()}
+	r := Result{Design: sim.design, Load: sim.load, Questions: float64(sim.grantRequests) / sim.load.For.Seconds()}
 	if sim.offeredTokens > 0 {
 		r.Refused = sim.refusedTokens / sim.offeredTokens
 	}
--- a/internal/quotalab/simulation_test.go
+++ b/internal/quotalab/simulation_test.go
@@ -59,7 +59,7 @@
 			if r.Refused > tt.most {
 				t.Errorf("%.4f of the tokens were refused within the limits, want %v at most", r.Refused, tt.most)
 			}
-			t.Logf("worst %.3f, refused %.4f, %.0f grant requests a second", r.Worst, r.Refused, r.GrantRequestRate)
+			t.Logf("worst %.3f, refused %.4f, %.0f grant requests a second", r.Worst, r.Refused, r.Questions)
 		})
 	}
 }
